--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -289,7 +289,7 @@
         r.deadline = us_per_s;
         gate_error last{};
         gate_admit(command_mode::apply, g, r, 1, last);
-        gate_finish(g, r, work_end::answered, 1, 1);
+        gate_finish(g, r, work_result::answered, 1, 1);
     }
     const double cpu = cpu_now() - before;
     const double heap = heap_bytes() - heap_before;
--- a/src/attempt/attempt_type.hpp
+++ b/src/attempt/attempt_type.hpp
@@ -57,13 +57,13 @@
 /// What the I/O layer is to do.
 enum class attempt_action_kind : std::uint8_t
 {
-    send,        ///< start attempt `count` on a backend server
-    send_fresh,  ///< the same on a new connection
-    send_resort, ///< the same, to a suspect: there was no room elsewhere
-    revoke,      ///< ask the exit node of attempt `count`, newly connected
-    cancel,      ///< drop attempt `count` and close its connection
-    deliver,     ///< give attempt `count`'s answer to the caller
-    refuse,      ///< tell the caller final outcome and reason
+    send,          ///< start attempt `count` on a backend server
+    send_fresh,    ///< the same on a new connection
+    send_fallback, ///< the same, to a suspect: there was no room elsewhere
+    revoke,        ///< ask the exit node of attempt `count`, newly connected
+    cancel,        ///< drop attempt `count` and close its connection
+    deliver,       ///< give attempt `count`'s answer to the caller
+    refuse,        ///< tell the caller final outcome and reason
 };
 
 /// One action.
@@ -83,7 +83,7 @@
 };
 
 /// One try as the machine tracks it.
-struct attempt_track
+struct attempt_state
 {
     attempt_phase phase = attempt_phase::open;
     bool connected = true; ///< an answer can still come on its connection
@@ -113,8 +113,8 @@
 /// Test hooks that turn a safeguard off; all on in production.
 struct attempt_safeguards
 {
-    bool retry_only_proven = true;  ///< no blind retry of non-idempotent work
-    bool ask_before_not_run = true; ///< revoke before saying "not run"
+    bool retry_only_proven = true; ///< no blind retry of non-idempotent work
+    bool revoke_before_not_run = true; ///< revoke before saying "not run"
     bool unknown_when_unproven = true; ///< never guess "not run"
 };
 
@@ -127,11 +127,11 @@
     attempt_policy policy;
     mono_us deadline = 0;
     final_outcome outcome = final_outcome::open;
-    std::string reason;                ///< of the last failure
-    std::vector<attempt_track> tracks; ///< by count - 1
-    mono_us wake_at = mono_never;      ///< when to feed a timer event
+    std::string reason;                        ///< of the last failure
+    std::vector<attempt_state> attempt_states; ///< by count - 1
+    mono_us wake_at = mono_never;              ///< when to feed a timer event
     /// From here on an attempt that was sent before counts as silent.
-    mono_us hurry_at = mono_never;
+    mono_us overdue_at = mono_never;
     bool out_of_workers = false; ///< nobody is left to try
     bool quarantined = false;    ///< must not be sent again
     bool resorted = false;       ///< the last resort was tried
--- a/src/gate/gate_cmd.cpp
+++ b/src/gate/gate_cmd.cpp
@@ -181,10 +181,10 @@
 }
 
 void adapt_limit(gate_worker& w, const gate_limits& l,
-                 std::uint32_t route_class, work_end end, span_us took,
+                 std::uint32_t route_class, work_result end, span_us took,
                  mono_us now)
 {
-    if (end == work_end::answered) {
+    if (end == work_result::answered) {
         note_served(w, l, now);
         w.usual += (took - w.usual) / usual_weight;
         auto& own = class_of(w, route_class, now).usual;
@@ -194,7 +194,7 @@
     }
     // The backend server's own count of load lags or misleads; a shed is the
     // one signal that it cannot get wrong. One step per burst of sheds.
-    if (end == work_end::shed && now - w.lowered_at > w.usual &&
+    if (end == work_result::shed && now - w.lowered_at > w.usual &&
         !was_served_at(w, l, now)) {
         w.limit = std::max(1.0, w.limit * lower_factor);
         w.lowered_at = now;
@@ -276,7 +276,7 @@
     return decisions;
 }
 
-void gate_finish(gate& g, const gate_request& r, work_end end, span_us took,
+void gate_finish(gate& g, const gate_request& r, work_result end, span_us took,
                  mono_us now)
 {
     const auto it = g.workers.find(r.worker);
@@ -288,21 +288,22 @@
     if (r.idempotent)
         return;
     switch (end) {
-    case work_end::answered:
+    case work_result::answered:
         remember(g, r.attempt, gate_state::finished, now);
         break;
-    case work_end::shed:
-    case work_end::unsent:
+    case work_result::shed:
+    case work_result::unsent:
         remember(g, r.attempt, gate_state::revoked, now);
         break;
-    case work_end::lost:
+    case work_result::lost:
         remember(g, r.attempt, gate_state::ended, now);
         break;
     }
 }
 
-std::vector<gate_decision> gate_outcome(gate& g, worker_id id, bool failed,
-                                        span_us took, mono_us now)
+std::vector<gate_decision> gate_report_outcome(gate& g, worker_id id,
+                                               bool failed, span_us took,
+                                               mono_us now)
 {
     const auto it = g.workers.find(id);
     if (!g.limits.doubt.on || it == g.workers.end())
@@ -316,14 +317,15 @@
     return after_doubt(g, it->second, was, now);
 }
 
-void gate_survive(gate& g, worker_id id, mono_us now)
+void gate_check_early_success(gate& g, worker_id id, mono_us now)
 {
     const auto it = g.workers.find(id);
     if (it != g.workers.end())
         proof_survive(it->second, g.limits, now);
 }
 
-std::vector<gate_decision> gate_silent(gate& g, worker_id id, mono_us now)
+std::vector<gate_decision> gate_report_overdue(gate& g, worker_id id,
+                                               mono_us now)
 {
     constexpr double usual_share = 0.85; // of work that is over by then
     const auto it = g.workers.find(id);
@@ -334,7 +336,7 @@
     return after_doubt(g, it->second, was, now);
 }
 
-bool gate_abandon(gate& g, const gate_request& r, mono_us now)
+bool gate_cancel_queued(gate& g, const gate_request& r, mono_us now)
 {
     const auto it = g.workers.find(r.worker);
     if (it == g.workers.end())
@@ -352,8 +354,8 @@
     return true;
 }
 
-std::optional<worker_id> gate_shorten(gate& g, const attempt_id& a,
-                                      mono_us deadline)
+std::optional<worker_id> gate_shorten_deadline(gate& g, const attempt_id& a,
+                                               mono_us deadline)
 {
     for (auto& [id, w] : g.workers) {
         const auto it =
@@ -455,7 +457,7 @@
     return decisions;
 }
 
-void gate_forget(gate& g, mono_us now)
+void gate_expire_records(gate& g, mono_us now)
 {
     while (!g.forgetting.empty() && g.forgetting.front().first <= now) {
         const auto it = g.records.find(g.forgetting.front().second);
--- a/src/gate/gate_cmd.hpp
+++ b/src/gate/gate_cmd.hpp
@@ -45,7 +45,7 @@
 std::vector<gate_decision> gate_advance(gate& g, worker_id w, mono_us now);
 
 /// What became of started work.
-enum class work_end : std::uint8_t
+enum class work_result : std::uint8_t
 {
     answered, ///< whole answer seen
     shed,     ///< the backend server said that it did not run it
@@ -53,35 +53,37 @@
     lost,     ///< cut, timed out or cancelled after the first byte
 };
 
-inline constexpr std::array<std::string_view, 4> work_end_names = {
+inline constexpr std::array<std::string_view, 4> work_result_names = {
     "answered", "shed", "unsent", "lost"};
 
 /// Ends started work and frees its slot.
 /// @param took time from start to end
-void gate_finish(gate& g, const gate_request& r, work_end end, span_us took,
+void gate_finish(gate& g, const gate_request& r, work_result end, span_us took,
                  mono_us now);
 
 /// Takes in what an outcome says about a backend server's health. Work that
 /// waits for one that has just become suspect is refused: elsewhere it runs.
-std::vector<gate_decision> gate_outcome(gate& g, worker_id w, bool failed,
-                                        span_us took, mono_us now);
+std::vector<gate_decision> gate_report_outcome(gate& g, worker_id w,
+                                               bool failed, span_us took,
+                                               mono_us now);
 
 /// Takes in work that outlived a quick failure by now.
-void gate_survive(gate& g, worker_id w, mono_us now);
+void gate_check_early_success(gate& g, worker_id w, mono_us now);
 
 /// The same for work that has no answer for longer than nearly all does.
-std::vector<gate_decision> gate_silent(gate& g, worker_id w, mono_us now);
+std::vector<gate_decision> gate_report_overdue(gate& g, worker_id w,
+                                               mono_us now);
 
 /// Takes queued work out because its caller has gone. It will never run.
 /// @return false when it was not queued any more
-bool gate_abandon(gate& g, const gate_request& r, mono_us now);
+bool gate_cancel_queued(gate& g, const gate_request& r, mono_us now);
 
 /// The entry node of queued work stops: nobody takes an answer after
 /// `deadline`. Changes its deadline alone; gate_advance() refuses it if it
 /// can't end by then.
 /// @return the backend server that it waits for; nothing when it does not wait
-std::optional<worker_id> gate_shorten(gate& g, const attempt_id& a,
-                                      mono_us deadline);
+std::optional<worker_id> gate_shorten_deadline(gate& g, const attempt_id& a,
+                                               mono_us deadline);
 
 /// Answers whether an attempt ran; one that has not started never will.
 /// @param boot process that the attempt was sent to
@@ -108,6 +110,6 @@
                                               mono_us now);
 
 /// Drops records whose time is over.
-void gate_forget(gate& g, mono_us now);
+void gate_expire_records(gate& g, mono_us now);
 
 } // namespace jasminetray
--- a/src/gate/gate_query.cpp
+++ b/src/gate/gate_query.cpp
@@ -31,7 +31,7 @@
     return static_cast<span_us>(load * static_cast<double>(it->second.usual));
 }
 
-span_us gate_usual(const gate& g, worker_id w)
+span_us gate_mean_duration(const gate& g, worker_id w)
 {
     const auto it = g.workers.find(w);
     return it == g.workers.end() ? gate_worker{}.usual : it->second.usual;
@@ -44,7 +44,7 @@
            doubt_holds(it->second.doubt, g.limits.doubt, now);
 }
 
-double gate_doubt(const gate& g, worker_id w, mono_us now)
+double gate_failure_probability(const gate& g, worker_id w, mono_us now)
 {
     const auto it = g.workers.find(w);
     if (!g.limits.doubt.on || it == g.workers.end())
@@ -52,7 +52,7 @@
     return doubt_now(it->second.doubt, g.limits.doubt, now);
 }
 
-std::size_t gate_open(const gate& g)
+std::size_t gate_pending_count(const gate& g)
 {
     std::size_t n = 0;
     for (const auto& [id, x] : g.workers)
--- a/src/gate/gate_query.hpp
+++ b/src/gate/gate_query.hpp
@@ -16,15 +16,15 @@
 span_us gate_retry_after(const gate& g, worker_id w);
 
 /// Work that was let in and has not ended, over all backend servers.
-std::size_t gate_open(const gate& g);
+std::size_t gate_pending_count(const gate& g);
 
 /// Time that work on a backend server usually takes.
-span_us gate_usual(const gate& g, worker_id w);
+span_us gate_mean_duration(const gate& g, worker_id w);
 
 /// Whether work for a backend server is held back.
 bool is_suspect(const gate& g, worker_id w, mono_us now);
 
 /// How likely a backend server is sick now; 0 when doubt is not in use.
-double gate_doubt(const gate& g, worker_id w, mono_us now);
+double gate_failure_probability(const gate& g, worker_id w, mono_us now);
 
 } // namespace jasminetray
--- a/src/gate/gate_queue.cpp
+++ b/src/gate/gate_queue.cpp
@@ -54,7 +54,7 @@
 {
     if (!l.late_forecast)
         return false;
-    const double rest = std::max(min_rest, 1 - pressure_now(w, l, now));
+    const double rest = std::max(min_rest, 1 - on_time_load_now(w, l, now));
     return ends_before_deadline(w, x, now + wait_for(w, ahead, rest));
 }
 
@@ -92,7 +92,7 @@
     return a.serial < b.serial;
 }
 
-double pressure_now(const gate_worker& w, const gate_limits& l, mono_us now)
+double on_time_load_now(const gate_worker& w, const gate_limits& l, mono_us now)
 {
     const auto passed = static_cast<double>(now - w.pressure_at);
     return w.pressure *
@@ -103,7 +103,7 @@
                   std::uint32_t route_class, mono_us now)
 {
     const double whole = w.limit * static_cast<double>(l.pressure_span);
-    w.pressure = pressure_now(w, l, now) +
+    w.pressure = on_time_load_now(w, l, now) +
                  static_cast<double>(took_by(w, route_class)) / whole;
     w.pressure_at = now;
 }
--- a/src/gate/gate_queue.hpp
+++ b/src/gate/gate_queue.hpp
@@ -36,7 +36,8 @@
                   const gate_waiting& a, const gate_waiting& b, mono_us now);
 
 /// Share of the backend server's time that work let in in time takes now.
-double pressure_now(const gate_worker& w, const gate_limits& l, mono_us now);
+double on_time_load_now(const gate_worker& w, const gate_limits& l,
+                        mono_us now);
 
 /// Work that can be in time was let in.
 void add_pressure(gate_worker& w, const gate_limits& l,
--- a/src/limit/limit_func.cpp
+++ b/src/limit/limit_func.cpp
@@ -38,7 +38,8 @@
 
 } // namespace
 
-void share_allowance(retry_budget& b, const fleet_allowance& a, span_us age)
+void apply_fleet_allowance(retry_budget& b, const fleet_allowance& a,
+                           span_us age)
 {
     // A tenth is kept for nodes that do not know each other.
     constexpr double used_share = 0.9;
@@ -75,7 +76,7 @@
     return retries_left(b, now) > 0;
 }
 
-bool spend_retry(retry_budget& b, mono_us now)
+bool take_retry(retry_budget& b, mono_us now)
 {
     const int left = retries_left(b, now);
     if (left <= 0)
@@ -88,18 +89,18 @@
     return true;
 }
 
-allowance_policy own_limit_policy()
+allowance_policy local_limit_policy()
 {
     allowance_policy p;
     p.changed_at = std::numeric_limits<mono_us>::min() / 2; // never
     return p;
 }
 
-bool pass_team(allowance_book& b, const fleet_config& c,
-               const std::string& team, mono_us now)
+bool take_team_token(allowance_book& b, const fleet_config& c,
+                     const std::string& team, mono_us now)
 {
     return take_allowance(b, text_hash(team), limit_of(c, team), 0,
-                          own_limit_policy(), now)
+                          local_limit_policy(), now)
         .granted;
 }
 
--- a/src/limit/limit_type.hpp
+++ b/src/limit/limit_type.hpp
@@ -53,7 +53,8 @@
 /// just before. Counted from the first request instead, callers of a fleet
 /// that had just begun to serve were not retried, and unknown backend servers
 /// not tried, for seconds.
-void share_allowance(retry_budget& b, const fleet_allowance& a, span_us age);
+void apply_fleet_allowance(retry_budget& b, const fleet_allowance& a,
+                           span_us age);
 
 /// A first attempt was sent.
 void count_request(retry_budget& b, mono_us now);
@@ -65,17 +66,17 @@
 bool may_retry(const retry_budget& b, mono_us now);
 
 /// Takes a retry out of the budget; false when there is none left.
-bool spend_retry(retry_budget& b, mono_us now);
+bool take_retry(retry_budget& b, mono_us now);
 
 /// Whether a request of a team may pass at this node; takes a token when it
 /// may. For fleets whose teams have no keys: the caller's word counts, and a
 /// limit holds at each entry node.
 /// @param c configuration with the team's rate
 /// @param team value of the caller's team header; empty for none
-bool pass_team(allowance_book& b, const fleet_config& c,
-               const std::string& team, mono_us now);
+bool take_team_token(allowance_book& b, const fleet_config& c,
+                     const std::string& team, mono_us now);
 
 /// What such limits are counted by: there is nobody to share them with.
-allowance_policy own_limit_policy();
+allowance_policy local_limit_policy();
 
 } // namespace jasminetray
--- a/src/node/admin_quarantine.cpp
+++ b/src/node/admin_quarantine.cpp
@@ -18,7 +18,7 @@
 json::object suspect_json(const quarantine_book& b, fingerprint f, mono_us now)
 {
     json::array processes;
-    span_us newest = b.policy.memory;
+    span_us newest = b.policy.mark_ttl;
     for (const auto& r : reports_of(b, f, now)) {
         if (r.cleared)
             continue;
@@ -38,7 +38,7 @@
 {
     const auto& b = n.quarantine;
     std::vector<fingerprint> listed;
-    for (const auto& [request, marks] : b.suspects) {
+    for (const auto& [request, marks] : b.marks_by_request) {
         if (is_suspect(b, request))
             listed.push_back(request);
     }
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -341,7 +341,7 @@
 {
     const auto& m = r.machine;
     std::uint32_t reached = 0;
-    for (const auto& t : m.tracks)
+    for (const auto& t : m.attempt_states)
         reached += t.reached ? 1 : 0;
     const auto it = r.n.budgets.find(r.service->name);
     const bool paid =
@@ -355,7 +355,7 @@
                    attempt_action_kind kind)
 {
     const bool fresh = kind != attempt_action_kind::send;
-    r->resort = kind == attempt_action_kind::send_resort;
+    r->resort = kind == attempt_action_kind::send_fallback;
     r->may_probe = others_may_fail(*r);
     r->tries.emplace_back();
     auto& t = r->tries.back();
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -206,7 +206,7 @@
         switch (a.kind) {
         case attempt_action_kind::send:
         case attempt_action_kind::send_fresh:
-        case attempt_action_kind::send_resort:
+        case attempt_action_kind::send_fallback:
             start_attempt(r, a.count, a.kind);
             break;
         case attempt_action_kind::revoke:
@@ -242,10 +242,10 @@
     const auto& h = r->n.settings.hosted;
     const auto now = mono_now();
     if (r->n.balance.doubt.on) {
-        share_allowance(budget,
-                        {h.retry_ratio, h.retry_slack, h.retry_window,
-                         std::max<std::size_t>(1, r->n.max_nodes)},
-                        now - r->n.started_at);
+        apply_fleet_allowance(budget,
+                              {h.retry_ratio, h.retry_slack, h.retry_window,
+                               std::max<std::size_t>(1, r->n.max_nodes)},
+                              now - r->n.started_at);
     } else {
         budget.share = r->service->retry_share;
     }
@@ -297,15 +297,15 @@
     p.max_attempts = static_cast<std::uint32_t>(most);
     if (!n.settings.experiment.has(mechanism::retries))
         p.max_attempts = 1;
-    p.silence = silence_of(n, r, p.idempotent);
+    p.response_timeout = silence_of(n, r, p.idempotent);
     p.revoke_margin = std::min(p.revoke_margin, r.route->deadline_us / 4);
     if (n.balance.doubt.on) {
         p.max_tries = max_gates;
-        p.last_resort =
+        p.use_fallback =
             p.idempotent && n.settings.experiment.has(mechanism::last_resort);
         if (r.message.body().size() > large_body) {
             p.max_tries = max_large_gates;
-            p.last_resort = false;
+            p.use_fallback = false;
         }
     }
     return p;
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -69,7 +69,7 @@
 /// patience with silence lets expect.
 span_us usual_of(const entry_run& r)
 {
-    const auto expected = expected_work(r.machine.policy);
+    const auto expected = expected_duration(r.machine.policy);
     const auto* c = r.tries.empty() ? nullptr
                                     : view_candidate(r.n.view, r.service_key,
                                                      r.tries.back().worker);
@@ -81,8 +81,9 @@
 {
     for (std::uint32_t k = 0; k < r.tries.size(); ++k) {
         const auto& t = r.tries[k];
-        const bool open = k < r.machine.tracks.size() && !t.cancelled &&
-                          r.machine.tracks[k].phase == attempt_phase::open;
+        const bool open =
+            k < r.machine.attempt_states.size() && !t.cancelled &&
+            r.machine.attempt_states[k].phase == attempt_phase::open;
         if (!open)
             continue;
         auto& share = shares[t.exit];
@@ -147,7 +148,8 @@
     std::map<std::string, int> missing;
     for (const auto* r : n.open_runs) {
         const auto& m = r->machine;
-        if (m.policy.idempotent && m.tracks.size() == 1 && m.hurry_at <= now)
+        if (m.policy.idempotent && m.attempt_states.size() == 1 &&
+            m.overdue_at <= now)
             ++missing[r->service->name];
     }
     for (auto& [service, count] : missing) {
@@ -198,7 +200,7 @@
     if (n.config && place != n.service_places.end() && !n.stopping) {
         auto& budget = n.budgets[n.config->services[place->second].name];
         while (granted < std::min(loan->count, max_loan) &&
-               spend_retry(budget, mono_now()))
+               take_retry(budget, mono_now()))
             ++granted;
     }
     loan->count = granted;
@@ -211,7 +213,8 @@
     std::map<node_id, exit_share> shares;
     for (auto* r : n.open_runs) {
         add_attempts(*r, shares);
-        attempt_shorten(r->machine, n.last_answer_at, usual_of(*r), now);
+        attempt_shorten_deadline(r->machine, n.last_answer_at, usual_of(*r),
+                                 now);
         r->tell({attempt_event_kind::timer, 0, ""});
     }
     start_borrowing(n);
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -58,7 +58,7 @@
 std::optional<refusal> take_word(node_state& n, entry_run& r)
 {
     const auto team = field_of(r.message, beast_text(n.dialect.team));
-    if (pass_team(n.teams, *r.config, team, mono_now()))
+    if (take_team_token(n.teams, *r.config, team, mono_now()))
         return std::nullopt;
     return refuse(http::status::too_many_requests, event_id::refused_team_limit,
                   "team-limit", us_per_s);
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -55,8 +55,8 @@
     w.request.stamp = h->stamp;
     w.request.idempotent = h->idempotent;
     w.request.may_probe = h->may_probe;
-    w.request.last_resort = h->last_resort;
-    w.request.leaving = h->leaving;
+    w.request.is_fallback = h->last_resort;
+    w.request.entry_stopping = h->leaving;
     w.request.priority = h->priority;
     w.request.deadline =
         now + std::min(h->remaining, n.door.limits.longest_deadline);
@@ -94,8 +94,8 @@
     a.outcome = outcome;
     a.reason = reason;
     a.load = gate_load(n.door, id);
-    a.work = gate_usual(n.door, id);
-    a.doubt = percent_of(gate_doubt(n.door, id, now));
+    a.work = gate_mean_duration(n.door, id);
+    a.doubt = percent_of(gate_failure_probability(n.door, id, now));
     a.suspect = is_suspect(n.door, id, now);
     const auto it = n.workers.find(id);
     if (it != n.workers.end())
@@ -150,7 +150,7 @@
     }
     n.tickets.erase(w.request.attempt);
     w.request.deadline = ticket->deadline;
-    w.request.leaving = w.request.leaving || ticket->shortened;
+    w.request.entry_stopping = w.request.entry_stopping || ticket->shortened;
     // A late handler sees the decision and leaves the stream alone.
     if (!ticket->decision)
         ticket->decision = gate_decision{};
@@ -158,8 +158,8 @@
     stream.socket().cancel(ec);
     if (!ticket->caller_left || ticket->decision->start)
         return ticket->decision->start ? gate_error::none
-                                       : ticket->decision->why;
-    gate_abandon(n.door, w.request, mono_now());
+                                       : ticket->decision->refusal;
+    gate_cancel_queued(n.door, w.request, mono_now());
     return gate_error::revoked;
 }
 
@@ -179,7 +179,7 @@
         (refused == gate_error::none
              ? "started"
              : std::string(name_of(gate_error_names, refused))) +
-        (w.request.leaving ? " leaving=1" : "");
+        (w.request.entry_stopping ? " leaving=1" : "");
     // A busy gate makes most work wait for a moment; the log is for waits that
     // a caller would notice.
     if (waited < noticed_wait && refused == gate_error::none)
@@ -201,7 +201,7 @@
 /// Gives back the slot of work that is in quarantine since it was let in.
 gate_error withdraw_quarantined(node_state& n, const exit_work& w)
 {
-    gate_finish(n.door, w.request, work_end::unsent, 0, mono_now());
+    gate_finish(n.door, w.request, work_result::unsent, 0, mono_now());
     advance_gate(n, w.request.worker);
     return gate_error::quarantined;
 }
@@ -241,7 +241,7 @@
     const auto deadline = mono_now() + notice->remaining;
     std::set<worker_id> touched;
     for (const auto& a : notice->attempts) {
-        const auto waits_for = gate_shorten(n.door, a, deadline);
+        const auto waits_for = gate_shorten_deadline(n.door, a, deadline);
         const auto it = n.tickets.find(a);
         if (!waits_for || it == n.tickets.end())
             continue;
@@ -283,7 +283,7 @@
 std::string lost_text(const node_state& n, const exit_work& w,
                       const worker_answer& a)
 {
-    if (a.end != work_end::lost)
+    if (a.end != work_result::lost)
         return "";
     const std::string method(w.message.method_string());
     const std::string target(w.message.target());
@@ -302,11 +302,11 @@
     // Doubt moves before the answer goes out, so that the answer carries it.
     note_doubt(n, w.request.worker, a.seen, mono_now() - began);
     bool alive = true;
-    if (a.end == work_end::answered) {
+    if (a.end == work_result::answered) {
         alive = send_answer(n, w, a, stream, y);
         const bool whole = a.parser->is_done();
         if (!whole) {
-            a.end = work_end::lost;
+            a.end = work_result::lost;
             a.closed = a.link && peer_closed(a.link->stream.socket());
         }
         if (a.closed)
@@ -320,20 +320,20 @@
     n.events.write(
         event_id::work_ended, label_of(n, w),
         "worker=" + name_at(n, w.request.worker) +
-            " end=" + std::string(name_of(work_end_names, a.end)) +
+            " end=" + std::string(name_of(work_result_names, a.end)) +
             (a.reason.empty() ? "" : " reason=" + a.reason) +
-            (a.end == work_end::answered
+            (a.end == work_result::answered
                  ? " status=" + std::to_string(a.parser->get().result_int())
                  : "") +
             lost_text(n, w, a) + " us=" + std::to_string(mono_now() - began));
     advance_gate(n, w.request.worker);
     count(*n.metrics.gate, "decision", a.reason.empty() ? "ran" : a.reason);
-    if (a.end == work_end::answered || a.parser_sent)
+    if (a.end == work_result::answered || a.parser_sent)
         return alive;
-    const bool ran = a.end == work_end::lost;
+    const bool ran = a.end == work_result::lost;
     return send_refusal(n, w, stream,
                         ran ? hop_outcome::unknown : hop_outcome::not_run,
-                        a.reason, a.end == work_end::shed, y);
+                        a.reason, a.end == work_result::shed, y);
 }
 
 /// What the gate decided by, for the log.
@@ -350,9 +350,10 @@
     return " running=" + std::to_string(g.in_flight) +
            " waiting=" + std::to_string(g.queue.size()) +
            " limit=" + std::to_string(static_cast<int>(g.limit)) +
-           " usual_ms=" + std::to_string(g.usual / us_per_ms) +
-           " pressure=" + percent(pressure_now(g, n.door.limits, now)) +
-           " doubt=" + percent(gate_doubt(n.door, w.request.worker, now)) +
+           " usual_ms=" + std::to_string(g.mean_duration / us_per_ms) +
+           " pressure=" + percent(on_time_load_now(g, n.door.limits, now)) +
+           " doubt=" +
+           percent(gate_failure_probability(n.door, w.request.worker, now)) +
            " left_ms=" + std::to_string((w.request.deadline - now) / us_per_ms);
 }
 
@@ -423,7 +424,7 @@
 
 void tick_gate(node_state& n, mono_us now)
 {
-    gate_forget(n.door, now);
+    gate_expire_records(n.door, now);
     for (const auto& [id, w] : n.workers) {
         note_survival(n, id, now);
         advance_gate(n, id);
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -20,7 +20,7 @@
     gate.late_forecast = e.has(mechanism::late_forecast);
     gate.short_first = e.has(mechanism::short_first);
     n.placing.on = doubt && e.has(mechanism::placing);
-    gate.proof.survival = e.has(mechanism::survival);
+    gate.early_success.enabled = e.has(mechanism::survival);
     if (!e.has(mechanism::quick_probe))
         gate.doubt.quick_failure = 0;
     if (!e.has(mechanism::probe_work)) {
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -205,7 +205,7 @@
 {
     if (is_suspect(n.door, id, mono_now()) == was)
         return;
-    const auto doubt = gate_doubt(n.door, id, mono_now());
+    const auto doubt = gate_failure_probability(n.door, id, mono_now());
     n.events.write(was ? event_id::worker_trusted : event_id::worker_suspected,
                    n.workers[id].name,
                    "cause=" + std::string(cause) +
@@ -215,7 +215,7 @@
 void note_silence(node_state& n, worker_id id, mono_us now)
 {
     const bool was = is_suspect(n.door, id, now);
-    tell_queued(n, gate_silent(n.door, id, now));
+    tell_queued(n, gate_report_overdue(n.door, id, now));
     tell_suspicion(n, id, was, "silence");
 }
 
@@ -224,7 +224,7 @@
 void note_survival(node_state& n, worker_id id, mono_us now)
 {
     const bool was = is_suspect(n.door, id, now);
-    gate_survive(n.door, id, now);
+    gate_check_early_success(n.door, id, now);
     tell_suspicion(n, id, was, "survival");
 }
 
@@ -234,7 +234,7 @@
         return;
     const bool was = is_suspect(n.door, id, mono_now());
     const bool failed = seen == outcome_kind::failed;
-    tell_queued(n, gate_outcome(n.door, id, failed, took, mono_now()));
+    tell_queued(n, gate_report_outcome(n.door, id, failed, took, mono_now()));
     tell_suspicion(n, id, was, failed ? "failure" : "success");
 }
 
@@ -248,8 +248,8 @@
         l.worker = id;
         l.service = service_of(w.service);
         l.load = gate_load(n.door, id);
-        l.work = gate_usual(n.door, id);
-        l.doubt = percent_of(gate_doubt(n.door, id, now));
+        l.work = gate_mean_duration(n.door, id);
+        l.doubt = percent_of(gate_failure_probability(n.door, id, now));
         l.suspect = is_suspect(n.door, id, now);
         if (!is_load_news(l, w.told, w.slots, now - w.told_at, n.load_news))
             continue;
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -333,7 +333,7 @@
     n.fingerprints = make_fingerprint_key(s.key);
     n.quarantine.policy.crashes =
         static_cast<std::size_t>(s.quarantine.crashes);
-    n.quarantine.policy.memory = s.quarantine.memory;
+    n.quarantine.policy.mark_ttl = s.quarantine.memory;
 }
 
 void turn_off_safeguards(node_state& n)
@@ -344,8 +344,8 @@
         s.gate.check_revoked = s.gate.check_revoked && name != "revoked";
         s.attempt.retry_only_proven =
             s.attempt.retry_only_proven && name != "retry";
-        s.attempt.ask_before_not_run =
-            s.attempt.ask_before_not_run && name != "ask";
+        s.attempt.revoke_before_not_run =
+            s.attempt.revoke_before_not_run && name != "ask";
         s.attempt.unknown_when_unproven =
             s.attempt.unknown_when_unproven && name != "unknown";
         s.check_echo = s.check_echo && name != "echo";
@@ -441,10 +441,10 @@
     // The platform may change the file and send no signal.
     if (p.settings_file.changed())
         reload_settings(p.settings, n);
-    forget_idle_allowances(n.teams, own_limit_policy(), now);
+    forget_idle_allowances(n.teams, local_limit_policy(), now);
     forget_idle_allowances(n.allowances, allowance_policy_of(n), now);
     forget_idle_allowances(n.own_parts, allowance_policy_of(n), now);
-    quarantine_forget(n.quarantine, uptime_now());
+    quarantine_expire(n.quarantine, uptime_now());
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
         members.push_back(id);
@@ -466,7 +466,8 @@
     if (now < p.close_at)
         return;
     close_doors(p);
-    const bool idle = p.state.in_flight == 0 && gate_open(p.state.door) == 0;
+    const bool idle =
+        p.state.in_flight == 0 && gate_pending_count(p.state.door) == 0;
     if (idle || now >= p.stop_at)
         p.ctx.stop();
 }
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -30,8 +30,8 @@
     r.slots = static_cast<std::uint16_t>(w.slots);
     r.severity = static_cast<std::uint8_t>(shown);
     r.draining = w.draining || w.drained_here;
-    r.doubt =
-        static_cast<std::uint8_t>(percent_of(gate_doubt(n.door, w.id, now)));
+    r.doubt = static_cast<std::uint8_t>(
+        percent_of(gate_failure_probability(n.door, w.id, now)));
     r.scope = w.health.state == standing::ejected
                   ? scope_centre(n, w.health.scope)
                   : centre_id{};
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -102,7 +102,7 @@
                     std::optional<fingerprint>& known)
 {
     // Most of the time there is no suspect, and no request is hashed.
-    if (n.quarantine.suspects.empty() ||
+    if (n.quarantine.marks_by_request.empty() ||
         !n.settings.experiment.has(mechanism::quarantine))
         return false;
     return is_quarantined(n.quarantine, hash_once(n, m, known));
@@ -113,10 +113,10 @@
 {
     const auto now = uptime_now();
     const auto begun =
-        quarantine_note_crash(n.quarantine, process_of(w), running, now);
+        quarantine_record_crash(n.quarantine, process_of(w), running, now);
     log_begun(n, begun);
     tell(n, guards_of(n, service_of(w.service)),
-         quarantine_tell(n.quarantine, running, now));
+         quarantine_announce(n.quarantine, running, now));
     for (const auto f : running) {
         if (is_quarantined(n.quarantine, f))
             save_quarantine(n, f);
@@ -126,7 +126,7 @@
 void note_survived(node_state& n, const string_request& m,
                    std::optional<fingerprint>& known)
 {
-    if (!n.quarantine.suspects.empty())
+    if (!n.quarantine.marks_by_request.empty())
         end_quarantine(n, hash_once(n, m, known), "answer");
 }
 
@@ -147,14 +147,14 @@
                   const quarantine_message& m)
 {
     const auto now = uptime_now();
-    const auto begun = quarantine_take_reports(n.quarantine, m.reports, now);
+    const auto begun = quarantine_apply_reports(n.quarantine, m.reports, now);
     log_begun(n, begun);
     // Ends at the same moment are each noted before any node knows of all.
     for (const auto f : begun) {
         if (is_noted_here(n, f))
             save_quarantine(n, f);
     }
-    tell(n, {from}, quarantine_answer(n.quarantine, m, n.rng, now));
+    tell(n, {from}, quarantine_reply(n.quarantine, m, n.rng, now));
 }
 
 void tick_quarantine(node_state& n)
--- a/src/node/worker_work.cpp
+++ b/src/node/worker_work.cpp
@@ -183,7 +183,7 @@
     const auto& head = a.parser->get();
     const auto status = head.result_int();
     if (is_not_run(n, f, head)) {
-        a.end = work_end::shed;
+        a.end = work_result::shed;
         a.reason = "shed";
         return;
     }
@@ -191,7 +191,7 @@
     if (!echo_fits(n, f, *a.parser) || (success && !is_proven(n, head))) {
         // Another request's answer: it must not reach this caller, and this
         // connection's later answers would be off by one too.
-        a.end = work_end::lost;
+        a.end = work_result::lost;
         a.seen = outcome_kind::failed;
         a.reason = "echo-mismatch";
         n.events.write(event_id::echo_mismatch, to_text(r.attempt),
@@ -199,7 +199,7 @@
                            field_of(head, beast_text(n.dialect.request)));
         return;
     }
-    a.end = work_end::answered;
+    a.end = work_result::answered;
     if (status == gateway_timeout || (status >= 500 && is_calls_fault(n, a)))
         a.seen = outcome_kind::neutral;
     else if (status >= 500)
@@ -267,12 +267,12 @@
     if (!ec)
         return judge_answer(n, facts, r, a);
     const bool left_early = watch && watch->left;
-    a.end = !written && sent == 0 ? work_end::unsent : work_end::lost;
+    a.end = !written && sent == 0 ? work_result::unsent : work_result::lost;
     a.reason = left_early ? "caller-left"
                : written  ? "worker-silent"
                           : "worker-write";
     a.closed = !left_early && ec != beast::error::timeout;
-    if (a.end == work_end::lost && (left_early || a.closed))
+    if (a.end == work_result::lost && (left_early || a.closed))
         note_lost_work(n, id, message, a.closed);
     if (it != n.workers.end() && !left_early)
         a.seen = written ? judge_silence(it->second, a.route_class, r.target,
@@ -306,7 +306,7 @@
         a.seen = outcome_kind::failed;
         a.reason = "worker-connect";
     }
-    if (a.end != work_end::answered)
+    if (a.end != work_result::answered)
         end_on_worker(n, r, a, false);
     return a;
 }
@@ -318,7 +318,7 @@
     const auto it = n.workers.find(r.worker);
     if (it == n.workers.end())
         return;
-    if (!whole && a.end == work_end::lost && a.parser &&
+    if (!whole && a.end == work_result::lost && a.parser &&
         a.seen == outcome_kind::good)
         a.seen = outcome_kind::failed; // cut in the middle
     note_outcome(n, it->second, a.key,
--- a/src/node/worker_work.hpp
+++ b/src/node/worker_work.hpp
@@ -8,7 +8,7 @@
 /// What a backend server made of a piece of work.
 struct worker_answer
 {
-    work_end end = work_end::unsent;
+    work_result end = work_result::unsent;
     outcome_kind seen = outcome_kind::neutral; ///< as evidence
     std::string reason;                        ///< when there is no answer
     bool closed = false; ///< no answer: the backend server ended it
--- a/src/quarantine/quarantine_cmd.cpp
+++ b/src/quarantine/quarantine_cmd.cpp
@@ -98,8 +98,8 @@
 } // namespace
 
 std::vector<fingerprint>
-quarantine_note_crash(quarantine_book& b, process_id process,
-                      const std::vector<fingerprint>& running, mono_us now)
+quarantine_record_crash(quarantine_book& b, process_id process,
+                        const std::vector<fingerprint>& running, mono_us now)
 {
     std::vector<fingerprint> begun;
     for (const auto f : running) {
@@ -110,8 +110,8 @@
 }
 
 std::vector<fingerprint>
-quarantine_take_reports(quarantine_book& b,
-                        const std::vector<crash_report>& reports, mono_us now)
+quarantine_apply_reports(quarantine_book& b,
+                         const std::vector<crash_report>& reports, mono_us now)
 {
     std::vector<fingerprint> begun;
     for (const auto& r : reports) {
@@ -139,7 +139,7 @@
     return stood;
 }
 
-void quarantine_forget(quarantine_book& b, mono_us now)
+void quarantine_expire(quarantine_book& b, mono_us now)
 {
     for (auto it = b.suspects.begin(); it != b.suspects.end();) {
         remove_marks(b, it->second, [&](const auto& m) {
--- a/src/quarantine/quarantine_spread.cpp
+++ b/src/quarantine/quarantine_spread.cpp
@@ -98,8 +98,8 @@
 }
 
 std::vector<quarantine_message>
-quarantine_tell(const quarantine_book& b,
-                const std::vector<fingerprint>& requests, mono_us now)
+quarantine_announce(const quarantine_book& b,
+                    const std::vector<fingerprint>& requests, mono_us now)
 {
     std::vector<crash_report> reports;
     for (const auto f : requests) {
@@ -109,10 +109,9 @@
     return pack_reports(b.policy, reports);
 }
 
-std::vector<quarantine_message> quarantine_answer(const quarantine_book& b,
-                                                  const quarantine_message& m,
-                                                  random_state& rng,
-                                                  mono_us now)
+std::vector<quarantine_message> quarantine_reply(const quarantine_book& b,
+                                                 const quarantine_message& m,
+                                                 random_state& rng, mono_us now)
 {
     if (m.digest.size() != quarantine_buckets ||
         std::equal(m.digest.begin(), m.digest.end(), b.digest.begin()))
--- a/src/quarantine/quarantine_spread.hpp
+++ b/src/quarantine/quarantine_spread.hpp
@@ -24,14 +24,14 @@
 
 /// Marks of some requests, for nodes that must know at once.
 std::vector<quarantine_message>
-quarantine_tell(const quarantine_book& b,
-                const std::vector<fingerprint>& requests, mono_us now);
+quarantine_announce(const quarantine_book& b,
+                    const std::vector<fingerprint>& requests, mono_us now);
 
 /// Answers another node's digest; nothing when both know the same. The
 /// reports of the message must have been taken up before.
-std::vector<quarantine_message> quarantine_answer(const quarantine_book& b,
-                                                  const quarantine_message& m,
-                                                  random_state& rng,
-                                                  mono_us now);
+std::vector<quarantine_message> quarantine_reply(const quarantine_book& b,
+                                                 const quarantine_message& m,
+                                                 random_state& rng,
+                                                 mono_us now);
 
 } // namespace jasminetray
--- a/test/fake_path.cpp
+++ b/test/fake_path.cpp
@@ -72,7 +72,7 @@
     switch (a.kind) {
     case attempt_action_kind::send:
     case attempt_action_kind::send_fresh:
-    case attempt_action_kind::send_resort:
+    case attempt_action_kind::send_fallback:
         return send(seq, a.count);
     case attempt_action_kind::revoke: {
         packet p;
@@ -238,7 +238,7 @@
     w.reached = w.reached || w.boot == exits[w.exit].door.boot;
 }
 
-void fake_path::end(std::size_t n, work_end how)
+void fake_path::end(std::size_t n, work_result how)
 {
     if (work.empty())
         return;
@@ -246,12 +246,12 @@
     auto w = work[n];
     if (exits[w.exit].paused)
         return;
-    if (how == work_end::answered && !w.reached)
+    if (how == work_result::answered && !w.reached)
         reach(n);
     w = work[n];
-    const bool possible = how == work_end::answered ? w.reached
-                          : how == work_end::lost   ? true
-                                                    : !w.reached;
+    const bool possible = how == work_result::answered ? w.reached
+                          : how == work_result::lost   ? true
+                                                       : !w.reached;
     if (!possible)
         return;
     work.erase(work.begin() + static_cast<std::ptrdiff_t>(n));
@@ -259,9 +259,9 @@
         return; // its process is gone; nobody hears of it
     gate_finish(exits[w.exit].door, w.request, how, us_per_ms,
                 clock_of(w.exit));
-    const auto event = how == work_end::answered ? attempt_event_kind::answer
-                       : how == work_end::lost   ? attempt_event_kind::unknown
-                                                 : attempt_event_kind::not_run;
+    const auto event = how == work_result::answered ? attempt_event_kind::answer
+                       : how == work_result::lost ? attempt_event_kind::unknown
+                                                  : attempt_event_kind::not_run;
     reply(w.exit, w.request.attempt, w.boot, event);
     advance_gates();
 }
@@ -272,7 +272,7 @@
         auto& x = exits[n];
         if (x.paused)
             continue;
-        gate_forget(x.door, clock_of(n));
+        gate_expire_records(x.door, clock_of(n));
         for (const auto& d : gate_advance(x.door, only_worker, clock_of(n))) {
             gate_request r;
             r.attempt = d.attempt;
--- a/test/fake_path.hpp
+++ b/test/fake_path.hpp
@@ -92,7 +92,7 @@
     /// Work reaches its backend server.
     void reach(std::size_t n);
     /// Work ends.
-    void end(std::size_t n, work_end how);
+    void end(std::size_t n, work_result how);
     /// Time passes.
     void advance(span_us by);
     /// An exit node's process is replaced; connections may stay silent.
--- a/test/fuzz_path.cpp
+++ b/test/fuzz_path.cpp
@@ -56,9 +56,9 @@
     {
         constexpr std::array<jt::span_us, 8> steps = {
             1000, 20000, 100000, 210000, 400000, 1100000, 2500000, 4000000};
-        constexpr std::array<jt::work_end, 4> ends = {
-            jt::work_end::answered, jt::work_end::shed, jt::work_end::unsent,
-            jt::work_end::lost};
+        constexpr std::array<jt::work_result, 4> ends = {
+            jt::work_result::answered, jt::work_result::shed,
+            jt::work_result::unsent, jt::work_result::lost};
         switch (kind) {
         case 0:
             return p.begin(flag && m % 2 == 0, 500000 + 200000 * (n % 4));
@@ -104,7 +104,7 @@
     s.gate.remember_revoked = off != "remember";
     s.gate.remember_refused = off != "refused";
     s.attempt.retry_only_proven = off != "retry";
-    s.attempt.ask_before_not_run = off != "ask";
+    s.attempt.revoke_before_not_run = off != "ask";
     s.attempt.unknown_when_unproven = off != "unknown";
     s.check_echo = off != "echo";
     return s;
--- a/test/test_attempt.cpp
+++ b/test/test_attempt.cpp
@@ -45,7 +45,7 @@
     r.step({attempt_event_kind::not_run, 1, "deadline-short"});
     EXPECT_EQ(r.only(), attempt_action_kind::send_fresh);
     r.step({attempt_event_kind::not_run, 2, "deadline-short"});
-    EXPECT_EQ(r.only(), attempt_action_kind::send_resort);
+    EXPECT_EQ(r.only(), attempt_action_kind::send_fallback);
     r.step({attempt_event_kind::not_run, 3, "suspected"});
     EXPECT_EQ(r.only(), attempt_action_kind::refuse);
     EXPECT_EQ(r.state.outcome, final_outcome::not_run);
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -60,8 +60,8 @@
     auto g = make_gate(2);
     const auto r = work(1, us_per_s);
     gate_revoke(g, r.attempt, g.boot, us_per_s);
-    const auto later = us_per_s + g.limits.keep() + 1;
-    gate_forget(g, later);
+    const auto later = us_per_s + g.limits.record_ttl() + 1;
+    gate_expire_records(g, later);
     EXPECT_EQ(gate_find(g, r.attempt), nullptr);
     EXPECT_EQ(refusal(g, r, later), gate_error::stale_stamp);
 }
@@ -98,7 +98,7 @@
     auto g = make_gate(1);
     gate_error last{};
     EXPECT_TRUE(gate_admit(command_mode::check, g, work(1, 1000), 1000, last));
-    EXPECT_EQ(gate_open(g), 0U);
+    EXPECT_EQ(gate_pending_count(g), 0U);
     EXPECT_TRUE(g.records.empty());
 }
 
@@ -112,7 +112,7 @@
     urgent.priority = 0;
     refusal(g, patient, 1000);
     refusal(g, urgent, 1000);
-    gate_finish(g, running, work_end::answered, 10, 2000);
+    gate_finish(g, running, work_result::answered, 10, 2000);
     const auto d = gate_advance(g, w1, 2000);
     ASSERT_EQ(d.size(), 1U);
     EXPECT_EQ(d[0].attempt.request.seq, 3U);
@@ -125,7 +125,7 @@
     auto g = make_gate(6);
     const auto r = work(1, us_per_s);
     refusal(g, r, us_per_s);
-    gate_finish(g, r, work_end::shed, 10, us_per_s);
+    gate_finish(g, r, work_result::shed, 10, us_per_s);
     EXPECT_LT(g.workers[w1].limit, 6);
     EXPECT_GE(g.workers[w1].limit, 1);
 }
@@ -143,7 +143,7 @@
     EXPECT_EQ(gate_admit(command_mode::check, g, work(2, 1000), 1000, last),
               admission::queued);
     gate_set_worker(g, w1, 6, 1);
-    EXPECT_EQ(g.workers[w1].foreign, 0);
+    EXPECT_EQ(g.workers[w1].inherited, 0);
 }
 
 // The caller's charge stays without an answer and the exit node cannot be
@@ -170,7 +170,7 @@
     budget.fixed = 1;
     attempt_step(r, {attempt_event_kind::begin, 0, ""}, budget, 0);
     attempt_step(r, {attempt_event_kind::lost, 1, ""}, budget, 10);
-    EXPECT_EQ(r.tracks.size(), 2U);
+    EXPECT_EQ(r.attempt_states.size(), 2U);
     attempt_step(r, {attempt_event_kind::lost, 2, ""}, budget, 20);
     EXPECT_EQ(r.outcome, final_outcome::unknown);
 }
@@ -182,10 +182,10 @@
     allowance_book b;
     int passed = 0;
     for (int n = 0; n < 100; ++n)
-        passed += pass_team(b, c, "a", us_per_s) ? 1 : 0;
+        passed += take_team_token(b, c, "a", us_per_s) ? 1 : 0;
     EXPECT_EQ(passed, 5);
-    EXPECT_TRUE(pass_team(b, c, "a", us_per_s + us_per_s / 5));
-    EXPECT_TRUE(pass_team(b, c, "unlimited", us_per_s));
+    EXPECT_TRUE(take_team_token(b, c, "a", us_per_s + us_per_s / 5));
+    EXPECT_TRUE(take_team_token(b, c, "unlimited", us_per_s));
 }
 
 TEST(limits, invented_team_names_do_not_grow_the_table)
@@ -195,7 +195,7 @@
     allowance_book b;
     b.most = 10;
     for (int n = 0; n < 100; ++n)
-        pass_team(b, c, "team-" + std::to_string(n), 1000);
+        take_team_token(b, c, "team-" + std::to_string(n), 1000);
     EXPECT_EQ(b.teams.size(), 10U);
 }
 
--- a/test/test_doubt.cpp
+++ b/test/test_doubt.cpp
@@ -26,7 +26,7 @@
     gate g;
     g.limits.doubt = on();
     gate_set_worker(g, backend, slots, 0);
-    g.workers[backend].usual = us_per_s / 2;
+    g.workers[backend].mean_duration = us_per_s / 2;
     g.workers[backend].doubt.at = start;
     return g;
 }
@@ -95,11 +95,11 @@
 // 500 within 2 ms, so its slots are always free. The gate must turn charges
 // away after the first, tell the truth that they did not run, and still let
 // a lookup in now and then, or the end of the sickness is never seen.
-TEST(gate_doubt, a_suspect_takes_only_probes)
+TEST(gate_failure_probability, a_suspect_takes_only_probes)
 {
     auto g = make_gate(6);
     gate_error last{};
-    gate_outcome(g, backend, true, took, start);
+    gate_report_outcome(g, backend, true, took, start);
     EXPECT_FALSE(admit(g, work(1, start, 2 * us_per_s, false), start, last));
     EXPECT_EQ(last, gate_error::suspected);
     EXPECT_FALSE(admit(g, work(2, start, us_per_s), start, last));
@@ -111,37 +111,37 @@
     last_try.may_probe = false;
     const auto next = later + g.limits.doubt.probe_every;
     EXPECT_FALSE(admit(g, last_try, next, last));
-    gate_outcome(g, backend, false, took, later);
-    gate_outcome(g, backend, false, took, later);
+    gate_report_outcome(g, backend, false, took, later);
+    gate_report_outcome(g, backend, false, took, later);
     EXPECT_TRUE(admit(g, work(6, start, 2 * us_per_s, false), later, last));
 }
 
 // Callers are refused though a backend server is well again: it failed each
 // piece of work at once, and now one probe lives on. Nobody has to wait for
 // its whole answer to send the next one; one that fails again stops that.
-TEST(gate_doubt, a_probe_that_lives_lets_the_next_one_in)
+TEST(gate_failure_probability, a_probe_that_lives_lets_the_next_one_in)
 {
     auto g = make_gate(6);
     gate_error last{};
     const span_us at_once = 2 * us_per_ms;
-    gate_outcome(g, backend, true, at_once, start);
+    gate_report_outcome(g, backend, true, at_once, start);
     auto now = start + g.limits.doubt.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
     now += g.limits.doubt.quick_failure;
     EXPECT_TRUE(admit(g, work(3, now, us_per_s), now, last));
-    gate_outcome(g, backend, true, at_once, now + at_once);
+    gate_report_outcome(g, backend, true, at_once, now + at_once);
     now += g.limits.doubt.quick_failure;
     EXPECT_FALSE(admit(g, work(4, now, us_per_s), now, last));
 }
 
 // One that hung gives no sign within so short a time: its probes stay apart,
 // or all its slots would hang again.
-TEST(gate_doubt, probes_of_one_that_hung_stay_apart)
+TEST(gate_failure_probability, probes_of_one_that_hung_stay_apart)
 {
     auto g = make_gate(6);
     gate_error last{};
-    gate_outcome(g, backend, true, 3 * us_per_s, start);
+    gate_report_outcome(g, backend, true, 3 * us_per_s, start);
     auto now = start + g.limits.doubt.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
     now += g.limits.doubt.quick_failure;
@@ -151,11 +151,11 @@
 // A service whose work must never run twice: each of its backend servers
 // fails once, and callers get refusals for good, because only idempotent work
 // was let in to show that they are well. When doubt has faded, any work may.
-TEST(gate_doubt, a_suspect_is_forgiven_where_no_work_may_fail)
+TEST(gate_failure_probability, a_suspect_is_forgiven_where_no_work_may_fail)
 {
     auto g = make_gate(6);
     gate_error last{};
-    gate_outcome(g, backend, true, took, start);
+    gate_report_outcome(g, backend, true, took, start);
     const auto soon = start + 2 * us_per_s;
     EXPECT_FALSE(admit(g, work(1, soon, 2 * us_per_s, false), soon, last));
     const auto later = start + 15 * us_per_s;
@@ -165,7 +165,7 @@
 
 // Work waits at a gate when its backend server turns sick. Elsewhere there
 // are slots: it must be told at once, as not run, and never run here.
-TEST(gate_doubt, what_waits_is_refused_when_a_suspect_is_made)
+TEST(gate_failure_probability, what_waits_is_refused_when_a_suspect_is_made)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -174,10 +174,10 @@
     ASSERT_EQ(admit(g, work(1, start, 2 * us_per_s), start, last),
               admission::started);
     ASSERT_EQ(admit(g, charge, start, last), admission::queued);
-    const auto told = gate_outcome(g, backend, true, took, start);
+    const auto told = gate_report_outcome(g, backend, true, took, start);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_FALSE(told[0].start);
-    EXPECT_EQ(told[0].why, gate_error::suspected);
+    EXPECT_EQ(told[0].refusal, gate_error::suspected);
     EXPECT_EQ(gate_find(g, charge.attempt)->state, gate_state::revoked);
 }
 
@@ -190,7 +190,7 @@
               admission::queued);
     const auto told = gate_drain_worker(g, backend, true, start);
     ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].why, gate_error::draining);
+    EXPECT_EQ(told[0].refusal, gate_error::draining);
     EXPECT_FALSE(admit(g, work(3, start, 2 * us_per_s), start, last));
 }
 
@@ -207,9 +207,9 @@
               admission::queued);
     const auto told = gate_stop(g, start);
     ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].why, gate_error::draining);
+    EXPECT_EQ(told[0].refusal, gate_error::draining);
     EXPECT_FALSE(told[0].start);
-    gate_finish(g, running, work_end::answered, us_per_s, start + us_per_s);
+    gate_finish(g, running, work_result::answered, us_per_s, start + us_per_s);
     EXPECT_TRUE(gate_advance(g, backend, start + us_per_s).empty());
     EXPECT_FALSE(admit(g, work(3, start, 2 * us_per_s), start, last));
     EXPECT_EQ(last, gate_error::draining);
@@ -237,7 +237,7 @@
         gate_request ended;
         ended.worker = backend;
         ended.idempotent = true;
-        gate_finish(g, ended, work_end::answered, us_per_s / 2, moment);
+        gate_finish(g, ended, work_result::answered, us_per_s / 2, moment);
         for (const auto& d : gate_advance(g, backend, moment)) {
             if (d.start)
                 order.push_back(d.attempt.request.seq);
@@ -282,7 +282,7 @@
     ASSERT_EQ(admit(g, waiting, start, last), admission::queued);
     const auto late = start + 7 * us_per_s / 2;
     EXPECT_TRUE(gate_advance(g, backend, late).empty());
-    gate_finish(g, running, work_end::answered, us_per_s / 2, late);
+    gate_finish(g, running, work_result::answered, us_per_s / 2, late);
     const auto told = gate_advance(g, backend, late);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_TRUE(told[0].start);
@@ -302,7 +302,7 @@
     mono_us refused_at = 0;
     for (std::uint64_t k = 3; k < 20 && refused_at == 0; ++k) {
         const auto now = start + static_cast<mono_us>(k) * us_per_s / 2;
-        gate_finish(g, running, work_end::answered, us_per_s / 2, now);
+        gate_finish(g, running, work_result::answered, us_per_s / 2, now);
         auto urgent = work(k, now, 2 * us_per_s);
         urgent.priority = 1;
         running = urgent;
@@ -464,7 +464,7 @@
     constexpr span_us longest = 400 * us_per_ms;
     auto g = make_gate(1);
     auto& w = g.workers[backend];
-    w.usual = each;
+    w.mean_duration = each;
     gate_error last{};
     std::map<std::uint64_t, mono_us> waits_since;
     std::optional<gate_request> running;
@@ -473,7 +473,7 @@
     for (std::uint64_t k = 1; k <= 200; ++k) {
         const auto now = start + static_cast<span_us>(k) * each / 2;
         if (running && now >= ends) {
-            gate_finish(g, *running, work_end::answered, each, now);
+            gate_finish(g, *running, work_result::answered, each, now);
             running.reset();
             ++served;
             for (const auto& d : gate_advance(g, backend, now)) {
@@ -512,11 +512,11 @@
     for (const auto& [r, span] :
          {std::pair{upload, 4 * us_per_s}, std::pair{lookup, 80 * us_per_ms}}) {
         EXPECT_TRUE(admit(g, r, start, last));
-        gate_finish(g, r, work_end::answered, span, start);
+        gate_finish(g, r, work_result::answered, span, start);
     }
     const auto& w = g.workers[backend];
-    EXPECT_EQ(w.classes.at(upload.route_class).usual, 4 * us_per_s);
-    EXPECT_EQ(w.classes.at(lookup.route_class).usual, 80 * us_per_ms);
+    EXPECT_EQ(w.classes.at(upload.route_class).mean_duration, 4 * us_per_s);
+    EXPECT_EQ(w.classes.at(lookup.route_class).mean_duration, 80 * us_per_ms);
 }
 
 // Routes come and go with configurations; the process stays.
@@ -529,7 +529,7 @@
         auto r = work(k + 1, now, us_per_s);
         r.route_class = k;
         EXPECT_TRUE(admit(g, r, now, last));
-        gate_finish(g, r, work_end::answered, us_per_ms, now);
+        gate_finish(g, r, work_result::answered, us_per_ms, now);
     }
     const auto& classes = g.workers[backend].classes;
     EXPECT_EQ(classes.size(), max_classes);
@@ -541,7 +541,7 @@
 gate make_suspect(mono_us failed_at)
 {
     auto g = make_gate(2);
-    gate_outcome(g, backend, true, us_per_ms, failed_at);
+    gate_report_outcome(g, backend, true, us_per_ms, failed_at);
     return g;
 }
 
@@ -559,7 +559,7 @@
     EXPECT_EQ(last, gate_error::suspected);
     for (std::uint64_t k = 2; k < 4; ++k) {
         lookup = work(k, now, us_per_s / 3);
-        lookup.last_resort = true;
+        lookup.is_fallback = true;
         EXPECT_TRUE(admit(g, lookup, now, last)) << k;
     }
 }
@@ -574,7 +574,7 @@
     for (std::uint64_t k = 1; k < 4; ++k) {
         const auto now = start + static_cast<span_us>(k) * us_per_s;
         auto charge = work(k, now, us_per_s, false);
-        charge.last_resort = true;
+        charge.is_fallback = true;
         EXPECT_FALSE(admit(g, charge, now, last));
         EXPECT_EQ(last, gate_error::suspected);
     }
--- a/test/test_limit.cpp
+++ b/test/test_limit.cpp
@@ -22,12 +22,13 @@
     for (std::size_t k = 0; k < tenths; ++k) {
         const auto now = start + static_cast<mono_us>(k) * us_per_s / 10;
         for (auto& b : all) {
-            share_allowance(b, {0.2, 60, 10 * us_per_s, nodes}, now - start);
+            apply_fleet_allowance(b, {0.2, 60, 10 * us_per_s, nodes},
+                                  now - start);
             const bool asked = k % 5 < 2;
             if (asked)
                 count_request(b, now);
             requests[k] += asked ? 1 : 0;
-            while (spend_retry(b, now))
+            while (take_retry(b, now))
                 ++retries[k];
         }
     }
@@ -56,11 +57,11 @@
     mono_us now = start;
     for (int k = 0; k < 240; ++k) {
         now += us_per_s / 4;
-        share_allowance(b, {0.2, 60, 10 * us_per_s, nodes}, now - start);
+        apply_fleet_allowance(b, {0.2, 60, 10 * us_per_s, nodes}, now - start);
         count_request(b, now);
     }
     for (int k = 0; k < 6; ++k)
-        EXPECT_TRUE(spend_retry(b, now)) << k;
+        EXPECT_TRUE(take_retry(b, now)) << k;
 }
 
 // A fleet has been up for a window when its first callers come, and the
@@ -72,13 +73,13 @@
     constexpr span_us window = 10 * us_per_s;
     const fleet_allowance fleet{0.2, 60, window, 21};
     retry_budget old_process;
-    share_allowance(old_process, fleet, window);
+    apply_fleet_allowance(old_process, fleet, window);
     count_request(old_process, start);
-    EXPECT_TRUE(spend_retry(old_process, start));
+    EXPECT_TRUE(take_retry(old_process, start));
     retry_budget new_process;
-    share_allowance(new_process, fleet, 0);
+    apply_fleet_allowance(new_process, fleet, 0);
     count_request(new_process, start);
-    EXPECT_FALSE(spend_retry(new_process, start));
+    EXPECT_FALSE(take_retry(new_process, start));
 }
 
 // Guards against lent retries that are counted twice, or not at all: the lender
@@ -89,11 +90,11 @@
     b.fixed = 1;
     b.granted = 1;
     EXPECT_EQ(retries_left(b, start), 2);
-    EXPECT_TRUE(spend_retry(b, start));
+    EXPECT_TRUE(take_retry(b, start));
     EXPECT_EQ(b.granted, 1);
-    EXPECT_TRUE(spend_retry(b, start));
+    EXPECT_TRUE(take_retry(b, start));
     EXPECT_EQ(b.granted, 0);
-    EXPECT_FALSE(spend_retry(b, start));
+    EXPECT_FALSE(take_retry(b, start));
     // The own one comes back with the window, the granted one does not.
     EXPECT_EQ(retries_left(b, start + 2 * b.window), 1);
 }
--- a/test/test_limit_shed.cpp
+++ b/test/test_limit_shed.cpp
@@ -41,9 +41,9 @@
         return true;
     }
 
-    void end(work_end how, span_us took, mono_us now)
+    void end(work_result how, span_us took, mono_us now)
     {
-        const bool fresh = how == work_end::shed;
+        const bool fresh = how == work_result::shed;
         const auto r = fresh ? running.back() : running.front();
         running.erase(fresh ? running.end() - 1 : running.begin());
         gate_finish(g, r, how, took, now);
@@ -64,9 +64,9 @@
     for (int k = 0; k < 200; ++k) {
         now += 50 * us_per_ms;
         if (x.let_in(now) && k % 2 == 1)
-            x.end(work_end::shed, us_per_ms, now + us_per_ms);
+            x.end(work_result::shed, us_per_ms, now + us_per_ms);
         else
-            x.end(work_end::answered, us_per_s / 2, now + us_per_ms);
+            x.end(work_result::answered, us_per_s / 2, now + us_per_ms);
     }
     EXPECT_GE(x.g.workers[backend].limit, 10);
 }
@@ -82,10 +82,10 @@
         now += 50 * us_per_ms;
         for (int n = 0; n < 3 && x.let_in(now); ++n) {
             if (x.running.size() > room)
-                x.end(work_end::shed, us_per_ms, now + us_per_ms);
+                x.end(work_result::shed, us_per_ms, now + us_per_ms);
         }
         if (k % 4 == 0 && !x.running.empty())
-            x.end(work_end::answered, us_per_s / 2, now + 2 * us_per_ms);
+            x.end(work_result::answered, us_per_s / 2, now + 2 * us_per_ms);
     }
     EXPECT_LE(x.g.workers[backend].limit, room + 2.0);
 }
--- a/test/test_proof.cpp
+++ b/test/test_proof.cpp
@@ -57,7 +57,7 @@
 TEST(proof, a_probe_that_lives_brings_a_suspect_back_at_once)
 {
     auto g = make_gate();
-    gate_outcome(g, backend, true, us_per_ms, start);
+    gate_report_outcome(g, backend, true, us_per_ms, start);
     ASSERT_TRUE(is_suspect(g, backend, start));
     mono_us now = start + us_per_s;
     gate_error last{};
@@ -67,7 +67,7 @@
         r.route_class = charge_class; // any long work
         EXPECT_TRUE(gate_admit(command_mode::apply, g, r, now, last));
         now += 60 * us_per_ms;
-        gate_survive(g, backend, now);
+        gate_check_early_success(g, backend, now);
     }
     EXPECT_FALSE(is_suspect(g, backend, now));
 }
@@ -77,7 +77,7 @@
 TEST(proof, survival_shows_nothing_of_a_sickness_that_shows_late)
 {
     auto g = make_gate();
-    gate_outcome(g, backend, true, 2 * us_per_s, start);
+    gate_report_outcome(g, backend, true, 2 * us_per_s, start);
     mono_us now = start + us_per_s;
     gate_error last{};
     for (std::uint64_t seq = 1; seq < 4; ++seq) {
@@ -85,7 +85,7 @@
         r.route_class = charge_class;
         gate_admit(command_mode::apply, g, r, now, last);
         now += 60 * us_per_ms;
-        gate_survive(g, backend, now);
+        gate_check_early_success(g, backend, now);
     }
     EXPECT_TRUE(is_suspect(g, backend, now));
 }
@@ -96,7 +96,7 @@
 {
     auto g = make_gate();
     for (int k = 0; k < 3; ++k)
-        gate_outcome(g, backend, true, charge_time, start);
+        gate_report_outcome(g, backend, true, charge_time, start);
     auto& d = g.workers[backend].doubt;
     d.suspect = false;
     d.sick = 0.3;
@@ -104,7 +104,7 @@
     auto r = work(1, start, false);
     r.route_class = charge_class;
     gate_admit(command_mode::apply, g, r, start, last);
-    gate_survive(g, backend, start + 60 * us_per_ms);
+    gate_check_early_success(g, backend, start + 60 * us_per_ms);
     EXPECT_DOUBLE_EQ(d.sick, 0.3);
 }
 
@@ -125,9 +125,9 @@
                 ++k;
                 continue;
             }
-            gate_outcome(g, backend, false, charge_time, now);
-            gate_finish(g, running[k].second, work_end::answered, charge_time,
-                        now);
+            gate_report_outcome(g, backend, false, charge_time, now);
+            gate_finish(g, running[k].second, work_result::answered,
+                        charge_time, now);
             running.erase(running.begin() + static_cast<std::ptrdiff_t>(k));
         }
         auto r = work(++seq, now, false);
@@ -138,13 +138,13 @@
         if (offered && gate_admit(command_mode::apply, g, r, now, last)) {
             const bool fails = sick && random_unit(rng) < 0.9;
             if (fails) {
-                gate_finish(g, r, work_end::lost, us_per_ms, now);
-                gate_outcome(g, backend, true, us_per_ms, now);
+                gate_finish(g, r, work_result::lost, us_per_ms, now);
+                gate_report_outcome(g, backend, true, us_per_ms, now);
             } else {
                 running.emplace_back(now + charge_time, r);
             }
         }
-        gate_survive(g, backend, now);
+        gate_check_early_success(g, backend, now);
         if (!sick && is_suspect(g, backend, now))
             held += static_cast<double>(step) / us_per_s;
     }
--- a/test/test_quarantine.cpp
+++ b/test/test_quarantine.cpp
@@ -34,8 +34,8 @@
     {
         if (random_unit(rng) < loss)
             return;
-        quarantine_take_reports(books[to], m.reports, now);
-        for (const auto& reply : quarantine_answer(books[to], m, rng, now))
+        quarantine_apply_reports(books[to], m.reports, now);
+        for (const auto& reply : quarantine_reply(books[to], m, rng, now))
             send(from, to, reply, now);
     }
 
@@ -75,11 +75,11 @@
 TEST(quarantine, begins_when_several_processes_ended)
 {
     quarantine_book b;
-    EXPECT_TRUE(quarantine_note_crash(b, process(1), {bad, good}, 1).empty());
-    EXPECT_TRUE(quarantine_note_crash(b, process(2), {bad}, 2).empty());
+    EXPECT_TRUE(quarantine_record_crash(b, process(1), {bad, good}, 1).empty());
+    EXPECT_TRUE(quarantine_record_crash(b, process(2), {bad}, 2).empty());
     EXPECT_TRUE(is_suspect(b, bad));
     EXPECT_FALSE(is_quarantined(b, bad));
-    EXPECT_EQ(quarantine_note_crash(b, process(3), {bad}, 3),
+    EXPECT_EQ(quarantine_record_crash(b, process(3), {bad}, 3),
               std::vector<fingerprint>{bad});
     EXPECT_TRUE(is_quarantined(b, bad));
     EXPECT_FALSE(is_quarantined(b, good));
@@ -90,7 +90,7 @@
 {
     quarantine_book b;
     for (int k = 0; k < 5; ++k)
-        quarantine_note_crash(b, process(1), {bad}, k);
+        quarantine_record_crash(b, process(1), {bad}, k);
     EXPECT_EQ(crashes_of(b, bad), 1U);
     EXPECT_EQ(b.marks, 1U);
 }
@@ -99,14 +99,14 @@
 TEST(quarantine, an_answer_clears_what_stood_before_it)
 {
     quarantine_book b;
-    quarantine_note_crash(b, process(1), {good}, 1);
-    quarantine_note_crash(b, process(2), {good}, 2);
+    quarantine_record_crash(b, process(1), {good}, 1);
+    quarantine_record_crash(b, process(2), {good}, 2);
     EXPECT_TRUE(quarantine_clear(b, good));
     EXPECT_FALSE(quarantine_clear(b, good));
-    quarantine_note_crash(b, process(3), {good}, 3);
+    quarantine_record_crash(b, process(3), {good}, 3);
     EXPECT_FALSE(is_quarantined(b, good));
     // Late reports of the former ends change nothing.
-    quarantine_take_reports(b, {{good, process(1), 0, false}}, 4);
+    quarantine_apply_reports(b, {{good, process(1), 0, false}}, 4);
     EXPECT_EQ(crashes_of(b, good), 1U);
 }
 
@@ -116,10 +116,10 @@
     quarantine_book b;
     b.policy.max_marks = 100;
     for (std::uint64_t k = 0; k < 3; ++k)
-        quarantine_note_crash(b, process(k), {bad}, 1);
+        quarantine_record_crash(b, process(k), {bad}, 1);
     for (std::uint64_t k = 10; k < 1000; ++k)
-        quarantine_note_crash(b, process(k), {static_cast<fingerprint>(k)},
-                              static_cast<mono_us>(k));
+        quarantine_record_crash(b, process(k), {static_cast<fingerprint>(k)},
+                                static_cast<mono_us>(k));
     EXPECT_EQ(b.marks, 100U);
     EXPECT_TRUE(is_quarantined(b, bad));
     EXPECT_TRUE(is_suspect(b, static_cast<fingerprint>(999)));
@@ -129,10 +129,10 @@
 {
     quarantine_book b;
     for (std::uint64_t k = 0; k < 3; ++k)
-        quarantine_note_crash(b, process(k), {bad}, start);
-    quarantine_forget(b, start + b.policy.memory - 1);
+        quarantine_record_crash(b, process(k), {bad}, start);
+    quarantine_expire(b, start + b.policy.memory - 1);
     EXPECT_TRUE(is_quarantined(b, bad));
-    quarantine_forget(b, start + b.policy.memory);
+    quarantine_expire(b, start + b.policy.memory);
     EXPECT_TRUE(b.suspects.empty());
     EXPECT_EQ(b.digest, quarantine_digest{});
     EXPECT_EQ(b.marks, 0U);
@@ -156,7 +156,7 @@
             if (s % 5 == 0)
                 quarantine_clear(at, f);
             else
-                quarantine_note_crash(at, p, {f}, now);
+                quarantine_record_crash(at, p, {f}, now);
         }
         const auto all = [&](const quarantine_book& x) {
             std::vector<crash_report> reports;
@@ -168,8 +168,8 @@
             return reports;
         };
         const auto of_a = all(a);
-        quarantine_take_reports(a, all(b), now);
-        quarantine_take_reports(b, of_a, now);
+        quarantine_apply_reports(a, all(b), now);
+        quarantine_apply_reports(b, of_a, now);
         RC_ASSERT(a.digest == b.digest);
         RC_ASSERT(a.marks == b.marks);
         for (std::uint64_t f = 0; f < 3; ++f)
@@ -187,7 +187,7 @@
         small_fleet f(size);
         f.loss = 0.3;
         for (std::size_t k = 0; k < 3; ++k)
-            quarantine_note_crash(f.books[k], process(k), {bad, good}, start);
+            quarantine_record_crash(f.books[k], process(k), {bad, good}, start);
         for (mono_us now = start; now < start + stable; now += 20 * us_per_ms)
             f.tick(now);
         EXPECT_EQ(f.count_holding(bad), size);
@@ -199,7 +199,7 @@
 {
     small_fleet f(30);
     for (std::uint64_t k = 0; k < 3; ++k)
-        quarantine_note_crash(f.books[0], process(k), {bad}, start);
+        quarantine_record_crash(f.books[0], process(k), {bad}, start);
     mono_us now = start;
     for (; now < start + 10 * us_per_s; now += 20 * us_per_ms)
         f.tick(now);
@@ -214,8 +214,8 @@
 TEST(quarantine, what_is_too_old_is_not_taken_up_again)
 {
     quarantine_book b;
-    quarantine_take_reports(b, {{bad, process(1), b.policy.memory, false}},
-                            start);
+    quarantine_apply_reports(b, {{bad, process(1), b.policy.memory, false}},
+                             start);
     EXPECT_TRUE(b.suspects.empty());
 }
 
@@ -225,8 +225,8 @@
     std::vector<fingerprint> running;
     for (std::uint64_t k = 0; k < b.policy.max_reports; ++k)
         running.push_back(static_cast<fingerprint>(k * 0x9e3779b97f4a7c15ULL));
-    quarantine_note_crash(b, process(0xfedcba9876543210ULL), running, start);
-    const auto messages = quarantine_tell(b, running, start + us_per_s);
+    quarantine_record_crash(b, process(0xfedcba9876543210ULL), running, start);
+    const auto messages = quarantine_announce(b, running, start + us_per_s);
     ASSERT_EQ(messages.size(), 1U);
     gossip_message m;
     m.kind = gossip_kind::quarantine;
@@ -252,7 +252,7 @@
     constexpr std::uint64_t wall_ms = 1'700'000'000'000;
     quarantine_book b;
     for (std::uint64_t k = 1; k <= 4; ++k)
-        quarantine_note_crash(b, process(k), {bad}, start);
+        quarantine_record_crash(b, process(k), {bad}, start);
     const auto text = quarantine_row(b, bad, start + us_per_s, wall_ms);
     const auto reports =
         parse_quarantine_row(to_text(bad), text, wall_ms + 1000);
@@ -260,7 +260,7 @@
     ASSERT_EQ(reports->size(), 4U);
     EXPECT_EQ(reports->front().age, 2 * us_per_s);
     quarantine_book anew;
-    quarantine_take_reports(anew, *reports, start);
+    quarantine_apply_reports(anew, *reports, start);
     EXPECT_TRUE(is_quarantined(anew, bad));
 }
 
--- a/test/test_stop.cpp
+++ b/test/test_stop.cpp
@@ -56,7 +56,7 @@
     const auto patient = work(3);
     ASSERT_TRUE(is_let_in(g, patient, start));
     const auto shortened = work(2).attempt;
-    EXPECT_EQ(gate_shorten(g, shortened, start + grace / 2), backend);
+    EXPECT_EQ(gate_shorten_deadline(g, shortened, start + grace / 2), backend);
     const auto told = gate_advance(g, backend, start);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_TRUE(told[0].attempt == shortened);
@@ -73,10 +73,10 @@
     const auto running = work(1);
     ASSERT_TRUE(is_let_in(g, running, start));
     ASSERT_TRUE(is_let_in(g, work(2), start));
-    gate_shorten(g, work(2).attempt, start + grace);
+    gate_shorten_deadline(g, work(2).attempt, start + grace);
     EXPECT_TRUE(gate_advance(g, backend, start).empty());
     const auto late = start + 3 * us_per_s;
-    gate_finish(g, running, work_end::answered, usual, late);
+    gate_finish(g, running, work_result::answered, usual, late);
     const auto told = gate_advance(g, backend, late);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_FALSE(told[0].start);
@@ -88,9 +88,9 @@
     const auto running = work(1);
     ASSERT_TRUE(is_let_in(g, running, start));
     ASSERT_TRUE(is_let_in(g, work(2), start));
-    gate_shorten(g, work(2).attempt, start + grace);
+    gate_shorten_deadline(g, work(2).attempt, start + grace);
     const auto soon = start + us_per_s;
-    gate_finish(g, running, work_end::answered, usual, soon);
+    gate_finish(g, running, work_result::answered, usual, soon);
     const auto told = gate_advance(g, backend, soon);
     ASSERT_EQ(told.size(), 1U);
     EXPECT_TRUE(told[0].start);
@@ -116,8 +116,8 @@
 {
     auto g = make_gate(1);
     ASSERT_TRUE(is_let_in(g, work(1), start));
-    EXPECT_FALSE(gate_shorten(g, work(1).attempt, start + grace));
-    EXPECT_FALSE(gate_shorten(g, work(9).attempt, start + grace));
+    EXPECT_FALSE(gate_shorten_deadline(g, work(1).attempt, start + grace));
+    EXPECT_FALSE(gate_shorten_deadline(g, work(9).attempt, start + grace));
 }
 
 /// A request that was sent once, at `start`.
@@ -134,7 +134,7 @@
 retry_budget some_budget()
 {
     retry_budget b;
-    share_allowance(b, {1, 100, 10 * us_per_s, 1}, 100 * us_per_s);
+    apply_fleet_allowance(b, {1, 100, 10 * us_per_s, 1}, 100 * us_per_s);
     count_request(b, start);
     return b;
 }
@@ -148,7 +148,7 @@
     auto budget = some_budget();
     auto r = sent_request(true, budget);
     const auto now = start + 3 * us_per_s;
-    attempt_shorten(r, now + grace, usual, now);
+    attempt_shorten_deadline(r, now + grace, usual, now);
     const auto told =
         attempt_step(r, {attempt_event_kind::timer, 0, ""}, budget, now);
     ASSERT_EQ(told.size(), 1U);
@@ -164,7 +164,7 @@
     auto budget = some_budget();
     auto r = sent_request(true, budget);
     const auto now = start + us_per_s / 2;
-    attempt_shorten(r, now + grace, usual, now);
+    attempt_shorten_deadline(r, now + grace, usual, now);
     EXPECT_TRUE(attempt_step(r, {attempt_event_kind::timer, 0, ""}, budget, now)
                     .empty());
     EXPECT_EQ(r.wake_at, start + usual);
@@ -181,7 +181,7 @@
     budget.fixed = 0;
     auto r = sent_request(true, budget);
     const auto now = start + 3 * us_per_s;
-    attempt_shorten(r, now + grace, usual, now);
+    attempt_shorten_deadline(r, now + grace, usual, now);
     EXPECT_TRUE(attempt_step(r, {attempt_event_kind::timer, 0, ""}, budget, now)
                     .empty());
     EXPECT_LT(r.wake_at, now + us_per_s);
@@ -200,7 +200,7 @@
     budget.fixed = 0;
     auto r = sent_request(true, budget);
     const auto now = start + 3 * us_per_s;
-    attempt_shorten(r, now + r.policy.silence / 4, usual, now);
+    attempt_shorten_deadline(r, now + r.policy.silence / 4, usual, now);
     attempt_step(r, {attempt_event_kind::timer, 0, ""}, budget, now);
     EXPECT_EQ(r.wake_at, r.deadline);
 }
@@ -211,8 +211,8 @@
     auto budget = some_budget();
     auto r = sent_request(false, budget);
     const auto now = start + 3 * us_per_s;
-    attempt_shorten(r, now + grace, usual, now);
-    EXPECT_EQ(r.hurry_at, mono_never);
+    attempt_shorten_deadline(r, now + grace, usual, now);
+    EXPECT_EQ(r.overdue_at, mono_never);
     EXPECT_TRUE(attempt_step(r, {attempt_event_kind::timer, 0, ""}, budget, now)
                     .empty());
 }
