--- a/src/attempt/attempt_func.cpp
+++ b/src/attempt/attempt_func.cpp
@@ -1,4 +1,4 @@
-// The attempt machine; see attempt_type.hpp for its states.
+// The attempt state machine.
 #include "attempt/attempt_func.hpp"
 
 #include <algorithm>
@@ -72,7 +72,7 @@
            !r.quarantined && now + r.policy.min_remaining < r.deadline;
 }
 
-/// Ends a request of which no attempt is open any more.
+/// Ends a request without open attempts.
 void settle(request_state& r, actions& out, const attempt_safeguards& on)
 {
     for (std::uint32_t n = 1; n <= r.attempt_states.size(); ++n) {
@@ -83,26 +83,25 @@
     refuse(r, proven ? final_outcome::not_run : final_outcome::unknown, out);
 }
 
-/// Whether a request that found no room may try a suspect. Refusing it serves
-/// nobody, and a sick backend server answers one in seven. Only repeatable
-/// work: a charge that is refused can be told so and come back, one that a
-/// sick backend server fails has run.
-bool may_resort(const request_state& r, mono_us now)
+/// Returns whether a request that no backend server accepted may fall back to a
+/// suspect one. The policy allows this only for idempotent requests, which a
+/// failed attempt does not harm.
+bool may_use_fallback(const request_state& r, mono_us now)
 {
-    return r.policy.last_resort && !r.resorted && !r.quarantined &&
+    return r.policy.use_fallback && !r.fallback_tried && !r.quarantined &&
            reached_count(r) == 0 && all_not_run(r) &&
            now + r.policy.min_remaining < r.deadline;
 }
 
-/// Tries again if that is safe and allowed; else ends the request unless
+/// Retries the request if that is safe and allowed. Otherwise ends it, unless
 /// another attempt is still open.
 void retry_or_settle(request_state& r, retry_budget& budget, mono_us now,
                      actions& out, const attempt_safeguards& on)
 {
     if (any_open(r))
         return;
-    // Another attempt at non-idempotent work is only safe when every former
-    // one is proven not to have run; else it could run twice.
+    // Non-idempotent work could run twice unless every former attempt is proven
+    // not to have run.
     const bool safe =
         r.policy.idempotent || all_not_run(r) || !on.retry_only_proven;
     const bool free = reached_count(r) == 0;
@@ -110,18 +109,18 @@
         ++r.retries;
         return send(r, attempt_action_kind::send_fresh, now, out);
     }
-    if (may_resort(r, now)) {
-        r.resorted = true;
+    if (may_use_fallback(r, now)) {
+        r.fallback_tried = true;
         return send(r, attempt_action_kind::send_fallback, now, out);
     }
     settle(r, out, on);
 }
 
-void ask(request_state& r, std::uint32_t count, actions& out)
+void send_revoke(request_state& r, std::uint32_t count, actions& out)
 {
     auto& t = r.attempt_states[count - 1];
     t.phase = attempt_phase::revoking;
-    t.asked = true;
+    t.timeout_handled = true;
     out.push_back({attempt_action_kind::revoke, count});
 }
 
@@ -131,13 +130,13 @@
     auto& t = r.attempt_states[count - 1];
     t.connected = false;
     if (t.phase == attempt_phase::revoking)
-        return; // the reply decides
+        return; // the revoke reply decides
     if (!r.policy.idempotent && on.revoke_before_not_run) {
-        // Bytes may be on their way still. Only the exit node can say
-        // whether they started anything, and make sure they never will.
-        if (!t.asked)
-            return ask(r, count, out);
-        // It was asked and said "started": the answer is lost for good.
+        // Sent bytes may still arrive. Only the exit node knows whether they
+        // started the work, and can prevent it.
+        if (!t.timeout_handled)
+            return send_revoke(r, count, out);
+        // The exit node replied "started", so the response is lost for good.
         t.phase = attempt_phase::unknown;
         return settle(r, out, on);
     }
@@ -160,16 +159,16 @@
             out.push_back({attempt_action_kind::cancel, e.count});
         return retry_or_settle(r, budget, now, out, on);
     }
-    // Started, finished or nobody knows: an answer may still come, but only
-    // on the connection that the attempt was sent on.
+    // Started, finished or unknown: a response can only arrive on the
+    // connection that the attempt was sent on.
     t.phase = t.connected ? attempt_phase::open : attempt_phase::unknown;
     if (!t.connected)
         settle(r, out, on);
 }
 
-bool is_silent(const request_state& r, const attempt_state& t, mono_us now)
+bool is_overdue(const request_state& r, const attempt_state& t, mono_us now)
 {
-    return now - t.sent_at >= r.policy.silence ||
+    return now - t.sent_at >= r.policy.response_timeout ||
            (t.sent_at < r.overdue_at && now >= r.overdue_at);
 }
 
@@ -184,42 +183,42 @@
     const bool margin = now >= r.deadline - r.policy.revoke_margin;
     for (std::uint32_t n = 1; n <= r.attempt_states.size(); ++n) {
         auto& t = r.attempt_states[n - 1];
-        const bool silent = is_silent(r, t, now);
-        if (t.phase != attempt_phase::open || t.asked || !(silent || margin))
+        const bool overdue = is_overdue(r, t, now);
+        if (t.phase != attempt_phase::open || t.timeout_handled ||
+            !(overdue || margin))
             continue;
         if (!r.policy.idempotent) {
-            ask(r, n, out);
-        } else if (silent && n == r.attempt_states.size() &&
+            send_revoke(r, n, out);
+        } else if (overdue && n == r.attempt_states.size() &&
                    may_send_more(r, now) && take_retry(budget, now)) {
-            // Something between the two ends may have lost track of the
-            // connection: it stays silent for good while new ones work.
-            t.asked = true;
+            // A middlebox may have dropped the connection's state, so that
+            // only new connections work.
+            t.timeout_handled = true;
             ++r.retries;
             return send(r, attempt_action_kind::send_fresh, now, out);
         }
     }
 }
 
-/// Whether another attempt could still end before the deadline.
-bool is_worth_another(const request_state& r, mono_us now)
+bool is_hedge_worthwhile(const request_state& r, mono_us now)
 {
     return may_send_more(r, now) &&
            now + expected_duration(r.policy) < r.deadline;
 }
 
-mono_us next_wake(const request_state& r, mono_us now)
+mono_us next_timer(const request_state& r, mono_us now)
 {
     mono_us at = r.deadline;
     for (const auto& t : r.attempt_states) {
-        if (t.phase != attempt_phase::open || t.asked)
+        if (t.phase != attempt_phase::open || t.timeout_handled)
             continue;
         if (r.policy.idempotent && &t == &r.attempt_states.back() &&
-            is_silent(r, t, now) && is_worth_another(r, now))
-            at = std::min(at, now + r.policy.ask_again);
-        const auto silent = t.sent_at + r.policy.silence;
+            is_overdue(r, t, now) && is_hedge_worthwhile(r, now))
+            at = std::min(at, now + r.policy.hedge_recheck_interval);
+        const auto overdue = t.sent_at + r.policy.response_timeout;
         const auto margin = r.deadline - r.policy.revoke_margin;
-        if (silent > now)
-            at = std::min(at, silent);
+        if (overdue > now)
+            at = std::min(at, overdue);
         if (r.overdue_at > now)
             at = std::min(at, r.overdue_at);
         if (!r.policy.idempotent && margin > now)
@@ -233,7 +232,7 @@
 {
     auto& t = r.attempt_states[e.count - 1];
     if (!is_open(t))
-        return; // decided already; late news changes nothing
+        return; // already decided
     switch (e.kind) {
     case attempt_event_kind::answer:
         return deliver(r, e.count, out);
@@ -270,8 +269,8 @@
 
 span_us expected_duration(const attempt_policy& p)
 {
-    constexpr span_us silence_per_work = 2;
-    return p.silence / silence_per_work;
+    constexpr span_us timeout_per_duration = 2;
+    return p.response_timeout / timeout_per_duration;
 }
 
 request_state make_request(const attempt_policy& policy, mono_us deadline)
@@ -282,19 +281,20 @@
     return r;
 }
 
-void attempt_shorten_deadline(request_state& r, mono_us deadline, span_us usual,
-                              mono_us now)
+void attempt_shorten_deadline(request_state& r, mono_us deadline,
+                              span_us expected, mono_us now)
 {
     if (deadline >= r.deadline)
         return;
     r.deadline = deadline;
     if (!r.policy.idempotent || r.attempt_states.empty())
         return;
-    // Usual work, and as much again: half of it takes longer than usual.
-    constexpr span_us room_for_another = 2;
-    const auto last_chance = deadline - room_for_another * usual;
-    const auto overdue = r.attempt_states.back().sent_at + usual;
-    r.overdue_at = std::max(now, std::min(last_chance, overdue));
+    // A hedge needs twice the expected duration, since half of all work takes
+    // longer than expected.
+    constexpr span_us durations_per_hedge = 2;
+    const auto latest_hedge = deadline - durations_per_hedge * expected;
+    const auto overdue = r.attempt_states.back().sent_at + expected;
+    r.overdue_at = std::max(now, std::min(latest_hedge, overdue));
 }
 
 std::vector<attempt_action> attempt_step(request_state& r,
@@ -318,7 +318,7 @@
         on_attempt(r, e, budget, now, out, on);
     }
     r.wake_at =
-        r.outcome == final_outcome::open ? next_wake(r, now) : mono_never;
+        r.outcome == final_outcome::open ? next_timer(r, now) : mono_never;
     return out;
 }
 
--- a/src/attempt/attempt_func.hpp
+++ b/src/attempt/attempt_func.hpp
@@ -1,4 +1,4 @@
-// The step function of the attempt machine.
+// Operations of the attempt state machine.
 #pragma once
 
 #include "attempt/attempt_type.hpp"
@@ -6,26 +6,23 @@
 
 namespace jasminetray {
 
-/// A new request.
-/// @param policy from route and service
-/// @param deadline moment of the final answer at the latest
+/// Creates a request whose caller gets its final response by `deadline`.
 request_state make_request(const attempt_policy& policy, mono_us deadline);
 
-/// Time that work of a request takes, by how long it may be without an answer.
+/// Returns the expected duration of a request's work, derived from its response
+/// timeout.
 span_us expected_duration(const attempt_policy& p);
 
-/// The node stops and the request gets less time than it had. Repeatable work
-/// that has lasted for its usual time, or that could not be tried once more
-/// after this, counts as silent from then on: a slow backend server would
-/// otherwise keep it until it is cut. Feed a timer event afterwards.
-/// @param usual time that such work takes
-void attempt_shorten_deadline(request_state& r, mono_us deadline, span_us usual,
-                              mono_us now);
+/// Shortens the deadline of a request because the node is stopping. Idempotent
+/// work becomes overdue once it has run for its expected duration, or once a
+/// hedge could barely finish in time, so that a slow backend server doesn't
+/// hold it until it is cut. The caller feeds a timer event afterwards.
+/// @param expected duration of such work
+void attempt_shorten_deadline(request_state& r, mono_us deadline,
+                              span_us expected, mono_us now);
 
-/// Feeds one event and returns what to do, in order.
-/// @param r the request
-/// @param e what happened
-/// @param budget retries of the service; taken from for each new attempt
+/// Processes one event and returns the actions to execute, in order.
+/// @param budget retries of the service; each new attempt takes one
 /// @param now this process's clock
 /// @param on safeguards; all on outside of tests
 std::vector<attempt_action> attempt_step(request_state& r,
--- a/src/gate/gate_cmd.hpp
+++ b/src/gate/gate_cmd.hpp
@@ -1,4 +1,5 @@
-// Commands of the exit side's gate. Time is passed in; no function does I/O.
+// Operations that change the gate. The caller passes in the time and does the
+// I/O.
 #pragma once
 
 #include "base/command_type.hpp"
@@ -8,47 +9,45 @@
 
 namespace jasminetray {
 
-/// Test hooks that turn a safeguard off, to show that the proof can fail.
-/// All are on in production; only the fuzzer and fault runs change them.
+/// Switches for tests that show that each safeguard is needed. All are on in
+/// production.
 struct gate_safeguards
 {
-    bool check_boot = true;       ///< refuse work for a former process
+    bool check_boot = true;       ///< refuse work for another incarnation
     bool check_stamp = true;      ///< refuse work that is too old
-    bool check_revoked = true;    ///< refuse work that was revoked
+    bool check_revoked = true;    ///< refuse revoked work
     bool check_duplicate = true;  ///< refuse a second copy
-    bool remember_revoked = true; ///< write a revoke down
-    bool remember_refused = true; ///< write a refusal down
+    bool remember_revoked = true; ///< record revocations
+    bool remember_refused = true; ///< record refusals
 };
 
-/// Lets work in, or refuses it.
-/// @param mode check or apply
-/// @param g the gate
-/// @param r the work
+/// Admits work or refuses it.
+/// @param mode check, or apply the decision
 /// @param now this process's clock
-/// @param last why it was refused
+/// @param error receives the reason of a refusal
 /// @param on safeguards; all on outside of tests
+/// @return state of the admitted work; nothing when refused
 std::optional<admission> gate_admit(command_mode mode, gate& g,
                                     const gate_request& r, mono_us now,
-                                    gate_error& last,
+                                    gate_error& error,
                                     const gate_safeguards& on = {});
 
-/// Queued work that is decided now.
 struct gate_decision
 {
     attempt_id attempt;
-    bool start = false;                ///< has a slot; else refused
-    gate_error why = gate_error::none; ///< when refused
+    bool start = false; ///< granted a slot; otherwise refused
+    gate_error refusal = gate_error::none;
 };
 
-/// Decides about queued work of a backend server: gives out free slots and
-/// refuses what can no longer meet its deadline.
+/// Assigns free slots to queued work of a backend server, and refuses work that
+/// can no longer meet its deadline.
 std::vector<gate_decision> gate_advance(gate& g, worker_id w, mono_us now);
 
-/// What became of started work.
+/// Result of started work.
 enum class work_result : std::uint8_t
 {
-    answered, ///< whole answer seen
-    shed,     ///< the backend server said that it did not run it
+    answered, ///< the complete response was received
+    shed,     ///< the backend server refused to run it
     unsent,   ///< no byte reached the backend server
     lost,     ///< cut, timed out or cancelled after the first byte
 };
@@ -61,55 +60,55 @@
 void gate_finish(gate& g, const gate_request& r, work_result end, span_us took,
                  mono_us now);
 
-/// Takes in what an outcome says about a backend server's health. Work that
-/// waits for one that has just become suspect is refused: elsewhere it runs.
+/// Updates the failure probability of a backend server by the outcome of work.
+/// Refuses all queued work when the backend server becomes suspect.
 std::vector<gate_decision> gate_report_outcome(gate& g, worker_id w,
                                                bool failed, span_us took,
                                                mono_us now);
 
-/// Takes in work that outlived a quick failure by now.
+/// Counts running work that has outlived the quick failure time as successes.
 void gate_check_early_success(gate& g, worker_id w, mono_us now);
 
-/// The same for work that has no answer for longer than nearly all does.
+/// Updates the failure probability by work whose response is overdue. Refuses
+/// all queued work when the backend server becomes suspect.
 std::vector<gate_decision> gate_report_overdue(gate& g, worker_id w,
                                                mono_us now);
 
-/// Takes queued work out because its caller has gone. It will never run.
-/// @return false when it was not queued any more
+/// Removes queued work whose caller has disconnected. It will never run.
+/// @return false when the work is not in the queue
 bool gate_cancel_queued(gate& g, const gate_request& r, mono_us now);
 
-/// The entry node of queued work stops: nobody takes an answer after
-/// `deadline`. Changes its deadline alone; gate_advance() refuses it if it
-/// can't end by then.
-/// @return the backend server that it waits for; nothing when it does not wait
+/// Shortens the deadline of queued work whose entry node is stopping. The next
+/// gate_advance() refuses the work if it can't finish in time.
+/// @return the backend server that it is queued for; nothing when not queued
 std::optional<worker_id> gate_shorten_deadline(gate& g, const attempt_id& a,
                                                mono_us deadline);
 
-/// Answers whether an attempt ran; one that has not started never will.
-/// @param boot process that the attempt was sent to
+/// Reports whether an attempt ran. An attempt that has not started is revoked:
+/// it never will.
+/// @param boot incarnation that the attempt was sent to
 revoke_reply gate_revoke(gate& g, const attempt_id& a, boot_id boot,
                          mono_us now, const gate_safeguards& on = {});
 
-/// Adds a backend server or takes up its new size.
-/// @param slots work that it takes at once
-/// @param busy its own count of running work; what this gate did not start
-///        was started through a former process and holds slots too
+/// Adds a backend server or updates its size.
+/// @param slots maximum concurrency
+/// @param busy its own count of running work; any excess over this gate's count
+///        was started by a previous incarnation and occupies slots too
 void gate_set_worker(gate& g, worker_id id, int slots, int busy);
 
-/// Stops or resumes new work for a backend server. What waits is refused as
-/// not run when it stops: elsewhere it need not wait for a slot that closes.
+/// Starts or stops draining a backend server. Draining refuses all queued work
+/// as not run, so that it can be retried elsewhere at once.
 std::vector<gate_decision> gate_drain_worker(gate& g, worker_id id,
                                              bool draining, mono_us now);
 
-/// The node stops: nothing more is let in, and all that waits is refused as
-/// not run. Started late, it would be cut when the process ends.
+/// Drains the whole gate before the process ends: refuses new and queued work
+/// as not run.
 std::vector<gate_decision> gate_stop(gate& g, mono_us now);
 
-/// Forgets a backend server that has gone. Its queue is refused.
+/// Removes a backend server and refuses its queued work.
 std::vector<gate_decision> gate_remove_worker(gate& g, worker_id id,
                                               mono_us now);
 
-/// Drops records whose time is over.
 void gate_expire_records(gate& g, mono_us now);
 
 } // namespace jasminetray
--- a/src/gate/gate_proof.hpp
+++ b/src/gate/gate_proof.hpp
@@ -1,20 +1,21 @@
-// Proof of health by work that has just begun; see proof_policy.
+// Early success detection; see early_success_policy.
 #pragma once
 
 #include "gate/gate_type.hpp"
 
 namespace jasminetray {
 
-/// Work took a slot.
-void proof_begin(gate_worker& w, const gate_limits& l, const young_work& x);
+/// Starts to track work that took a slot.
+void early_success_begin(gate_worker& w, const gate_limits& l,
+                         const recent_work& x);
 
-/// Work ended, one way or the other.
-void proof_end(gate_worker& w, const attempt_id& a);
+/// Stops tracking work that ended.
+void early_success_end(gate_worker& w, const attempt_id& a);
 
-/// Takes in what outlived a quick failure by now.
-void proof_survive(gate_worker& w, const gate_limits& l, mono_us now);
+/// Counts work that outlived doubt_policy::quick_failure as successes.
+void early_success_check(gate_worker& w, const gate_limits& l, mono_us now);
 
-/// Whether a success was taken in already, when its work had just begun.
-bool was_proof(const gate_worker& w, const gate_limits& l, span_us took);
+/// Returns whether successful work was already counted before it ended.
+bool is_counted_early(const gate_worker& w, const gate_limits& l, span_us took);
 
 } // namespace jasminetray
--- a/src/gate/gate_query.cpp
+++ b/src/gate/gate_query.cpp
@@ -1,4 +1,4 @@
-// Questions to the gate; see gate_query.hpp.
+// Read-only queries of the gate.
 #include "gate/gate_query.hpp"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
     if (it == g.workers.end())
         return 0;
     const auto& x = it->second;
-    const auto busy = static_cast<double>(x.in_flight + x.foreign) +
+    const auto busy = static_cast<double>(x.in_flight + x.inherited) +
                       static_cast<double>(x.queue.size());
     return busy / x.limit;
 }
@@ -28,13 +28,15 @@
     if (it == g.workers.end())
         return us_per_s;
     const double load = std::max(gate_load(g, w), 1.0);
-    return static_cast<span_us>(load * static_cast<double>(it->second.usual));
+    return static_cast<span_us>(load *
+                                static_cast<double>(it->second.mean_duration));
 }
 
 span_us gate_mean_duration(const gate& g, worker_id w)
 {
     const auto it = g.workers.find(w);
-    return it == g.workers.end() ? gate_worker{}.usual : it->second.usual;
+    return it == g.workers.end() ? gate_worker{}.mean_duration
+                                 : it->second.mean_duration;
 }
 
 bool is_suspect(const gate& g, worker_id w, mono_us now)
--- a/src/gate/gate_queue.cpp
+++ b/src/gate/gate_queue.cpp
@@ -1,4 +1,4 @@
-// How work waits at a gate; see gate_queue.hpp.
+// Order and admission of queued work.
 #include "gate/gate_queue.hpp"
 
 #include <algorithm>
@@ -8,38 +8,38 @@
 
 namespace {
 
-/// Least share of the slots that late work is forecast to get.
-constexpr double min_rest = 0.05;
+/// Minimum share of the slots in the forecast for late work.
+constexpr double min_late_share = 0.05;
 
-span_us wait_for(const gate_worker& w, span_us ahead, double share)
+span_us expected_wait(const gate_worker& w, span_us ahead, double share)
 {
     const double slots = std::max(1.0, w.limit) * share;
     return static_cast<span_us>(static_cast<double>(ahead) / slots);
 }
 
-/// Usual times that work needs to its deadline. Half of one: most work that has
-/// less left ends too late.
-constexpr double needed = 0.5;
+/// Time that work needs before its deadline, in mean durations. Most work with
+/// less time left ends too late.
+constexpr double required_durations = 0.5;
 
-/// The same where the entry node ends at the deadline. Work that is cut there
-/// has run for nobody and its caller is told so after seconds; refused as not
-/// run, it goes to another gate or its caller to another node at once. One
-/// piece of work in seven takes longer than this.
-constexpr double needed_leaving = 1.5;
+/// The same for work whose entry node stops at the deadline. Work that would be
+/// cut then is refused early, so that it can be retried elsewhere.
+constexpr double required_durations_stopping = 1.5;
 
 bool ends_before_deadline(const gate_worker& w, const gate_waiting& x,
                           mono_us begin)
 {
-    const auto usual = static_cast<double>(took_by(w, x.route_class));
-    const double times = x.leaving ? needed_leaving : needed;
-    return begin + static_cast<span_us>(times * usual) < x.deadline;
+    const auto mean_duration =
+        static_cast<double>(mean_duration_of(w, x.route_class));
+    const double times =
+        x.entry_stopping ? required_durations_stopping : required_durations;
+    return begin + static_cast<span_us>(times * mean_duration) < x.deadline;
 }
 
-/// Whether work starts in time when `ahead` goes first.
+/// Returns whether work starts in time when `ahead` goes first.
 bool starts_in_time(const gate_worker& w, const gate_limits& l,
                     const gate_waiting& x, span_us ahead, mono_us now)
 {
-    const auto begin = now + wait_for(w, ahead, 1);
+    const auto begin = now + expected_wait(w, ahead, 1);
     if (!ends_before_deadline(w, x, begin))
         return false;
     if (x.due == mono_never)
@@ -47,35 +47,38 @@
     return begin <= std::max(x.due, x.due - x.target + l.min_wait);
 }
 
-/// Whether the slots that are left over answer late work in time for its
-/// deadline.
-bool served_late(const gate_worker& w, const gate_limits& l,
-                 const gate_waiting& x, span_us ahead, mono_us now)
+/// Returns whether the capacity left over by on-time work lets late work finish
+/// before its deadline.
+bool is_servable_late(const gate_worker& w, const gate_limits& l,
+                      const gate_waiting& x, span_us ahead, mono_us now)
 {
     if (!l.late_forecast)
         return false;
-    const double rest = std::max(min_rest, 1 - on_time_load_now(w, l, now));
-    return ends_before_deadline(w, x, now + wait_for(w, ahead, rest));
+    const double late_share =
+        std::max(min_late_share, 1 - on_time_load_now(w, l, now));
+    return ends_before_deadline(w, x,
+                                now + expected_wait(w, ahead, late_share));
 }
 
 } // namespace
 
-gate_waiting waiting_of(const gate_request& r, std::uint64_t serial)
+gate_waiting make_waiting(const gate_request& r, std::uint64_t serial)
 {
-    return {r.attempt, r.idempotent,  r.priority, r.deadline, r.due,
-            r.target,  r.route_class, serial,     r.leaving};
+    return {r.attempt, r.idempotent,  r.priority, r.deadline,      r.due,
+            r.target,  r.route_class, serial,     r.entry_stopping};
 }
 
-span_us took_by(const gate_worker& w, std::uint32_t route_class)
+span_us mean_duration_of(const gate_worker& w, std::uint32_t route_class)
 {
     const auto it = w.classes.find(route_class);
-    return it == w.classes.end() || it->second.usual == 0 ? w.usual
-                                                          : it->second.usual;
+    return it == w.classes.end() || it->second.mean_duration == 0
+               ? w.mean_duration
+               : it->second.mean_duration;
 }
 
 bool is_late(const gate_worker& w, const gate_waiting& x, mono_us now)
 {
-    return x.due - took_by(w, x.route_class) < now;
+    return x.due - mean_duration_of(w, x.route_class) < now;
 }
 
 bool comes_before(const gate_worker& w, const gate_limits& l,
@@ -94,25 +97,26 @@
 
 double on_time_load_now(const gate_worker& w, const gate_limits& l, mono_us now)
 {
-    const auto passed = static_cast<double>(now - w.pressure_at);
-    return w.pressure *
-           std::exp(-passed / static_cast<double>(l.pressure_span));
+    const auto passed = static_cast<double>(now - w.on_time_load_at);
+    return w.on_time_load *
+           std::exp(-passed / static_cast<double>(l.on_time_load_window));
 }
 
-void add_pressure(gate_worker& w, const gate_limits& l,
-                  std::uint32_t route_class, mono_us now)
+void add_on_time_load(gate_worker& w, const gate_limits& l,
+                      std::uint32_t route_class, mono_us now)
 {
-    const double whole = w.limit * static_cast<double>(l.pressure_span);
-    w.pressure = on_time_load_now(w, l, now) +
-                 static_cast<double>(took_by(w, route_class)) / whole;
-    w.pressure_at = now;
+    const double whole = w.limit * static_cast<double>(l.on_time_load_window);
+    w.on_time_load =
+        on_time_load_now(w, l, now) +
+        static_cast<double>(mean_duration_of(w, route_class)) / whole;
+    w.on_time_load_at = now;
 }
 
 bool is_servable(const gate_worker& w, const gate_limits& l,
                  const gate_waiting& x, span_us ahead, mono_us now)
 {
     return starts_in_time(w, l, x, ahead, now) ||
-           served_late(w, l, x, ahead, now);
+           is_servable_late(w, l, x, ahead, now);
 }
 
 } // namespace jasminetray
--- a/src/gate/gate_queue.hpp
+++ b/src/gate/gate_queue.hpp
@@ -1,52 +1,41 @@
-// How work waits at a gate: in which order, for how long, and when it is
-// refused. Answers more work than slots for seconds, because a burst came or
-// because a third of a service's backend servers are sick at once.
-//
-// Work that can still be in time goes first; what is late already waits
-// behind it, since a late answer is worth a third and none is worth nothing.
-// Late work gets only the slots that work in time leaves over. So its wait is
-// forecast from that rest: in a short burst it is kept and served when the
-// burst is over; in a long overload the rest is nothing and it is refused at
-// once, while its caller can still do something else. A fixed bound did one
-// or the other: half a target past the target refused 0.036 of a calm day's
-// requests that could be served, the deadline let 0.05 more of an
-// overloaded day's wait in vain. Pure functions over plain structs.
+// Order and admission of queued work. On-time work goes first. Late work gets
+// only the remaining capacity, and its wait is forecast from that: a short
+// burst is queued and served, a long overload is refused at once.
 #pragma once
 
 #include "gate/gate_type.hpp"
 
 namespace jasminetray {
 
-/// Work as it stands in a queue.
-/// @param serial order of arrival among equals
-gate_waiting waiting_of(const gate_request& r, std::uint64_t serial);
+/// Returns the queue entry of a request.
+/// @param serial order of arrival
+gate_waiting make_waiting(const gate_request& r, std::uint64_t serial);
 
-/// Time that work of a class takes here.
-span_us took_by(const gate_worker& w, std::uint32_t route_class);
+/// Returns the mean duration of a route class at a backend server, or of all
+/// its work when the class is unknown.
+span_us mean_duration_of(const gate_worker& w, std::uint32_t route_class);
 
-/// Whether work would end after it is due if it began now.
+/// Returns whether work that starts now would probably end after it is due.
 bool is_late(const gate_worker& w, const gate_waiting& x, mono_us now);
 
-/// Order of the queue. First by priority. Then short targets: these are
-/// lookups that running work elsewhere waits for, with a slot of its own
-/// spent; behind work that lasts four times as long they time out, and their
-/// parents fail with them. Then what can still be in time, oldest first;
-/// behind it the late ones, oldest first.
+/// Orders the queue by priority, then by target, then on-time before late work,
+/// then by arrival. Short targets go first because the requests that make such
+/// lookups hold slots elsewhere.
 bool comes_before(const gate_worker& w, const gate_limits& l,
                   const gate_waiting& a, const gate_waiting& b, mono_us now);
 
-/// Share of the backend server's time that work let in in time takes now.
+/// Returns the decayed share of the backend server's time that on-time work
+/// uses.
 double on_time_load_now(const gate_worker& w, const gate_limits& l,
                         mono_us now);
 
-/// Work that can be in time was let in.
-void add_pressure(gate_worker& w, const gate_limits& l,
-                  std::uint32_t route_class, mono_us now);
+/// Adds one unit of admitted on-time work to the load.
+void add_on_time_load(gate_worker& w, const gate_limits& l,
+                      std::uint32_t route_class, mono_us now);
 
-/// Whether work is worth its place in the queue: it starts in time, or the
-/// slots that work in time leaves over can still answer it before its
-/// deadline.
-/// @param ahead time that all work before it takes in one slot
+/// Returns whether work is expected to start in time, or to finish before its
+/// deadline with the capacity left over by on-time work.
+/// @param ahead sum of the durations of all work before it
 bool is_servable(const gate_worker& w, const gate_limits& l,
                  const gate_waiting& x, span_us ahead, mono_us now);
 
--- a/src/gate/gate_type.hpp
+++ b/src/gate/gate_type.hpp
@@ -1,7 +1,5 @@
-// The exit side's gate: the only door to the backend servers of a VM. What
-// ran and what did not is decided here and nowhere else, so the answer needs
-// no agreement between machines. Plain data; gate_cmd.cpp changes it,
-// gate_query.cpp reads it.
+// Data of the exit side's admission control. Every request to a backend server
+// of a VM passes this gate, so its records alone tell which attempts ran.
 #pragma once
 
 #include "base/id_type.hpp"
@@ -16,21 +14,21 @@
 
 namespace jasminetray {
 
-/// Why the gate did not let work in. In each case but `duplicate` the work
+/// Reason for which the gate refused work. Except for `duplicate`, refused work
 /// did not run and never will.
 enum class gate_error : std::uint8_t
 {
     none,
-    wrong_boot,     ///< names a former process of this node
-    stale_stamp,    ///< sat on the way for longer than records are kept
-    revoked,        ///< the entry node was told that it will never run
-    duplicate,      ///< the same attempt was let in before
-    draining,       ///< the backend server or the node is leaving
-    records_full,   ///< no room to remember another attempt
+    wrong_boot,     ///< addressed to a previous incarnation of this node
+    stale_stamp,    ///< delayed for longer than records are kept
+    revoked,        ///< reported to the entry node as never running
+    duplicate,      ///< the same attempt was admitted before
+    draining,       ///< the backend server or the node is draining
+    records_full,   ///< no record is free for another attempt
     deadline_short, ///< would not get a slot before its deadline
     queue_full,     ///< the queue of its backend server is full
     no_worker,      ///< no such backend server on this VM
-    suspected,      ///< its backend server is likely sick at the moment
+    suspected,      ///< its backend server is probably unhealthy
     quarantined,    ///< the request crashes the processes that run it
 };
 
@@ -39,132 +37,117 @@
     "duplicate",  "draining",   "records-full", "deadline-short",
     "queue-full", "no-worker",  "suspected",    "quarantined"};
 
-/// What the gate remembers of one attempt at non-idempotent work.
+/// State of a recorded non-idempotent attempt.
 enum class gate_state : std::uint8_t
 {
     queued,   ///< waits for a slot; nothing was sent
     started,  ///< the first byte may have gone to the backend server
-    finished, ///< the backend server's whole answer was seen
-    ended,    ///< started and lost: nobody can tell whether it ran
+    finished, ///< the complete response was received
+    ended,    ///< started, then lost; whether it ran is unknown
     revoked,  ///< will never run
 };
 
 inline constexpr std::array<std::string_view, 5> gate_state_names = {
     "queued", "started", "finished", "ended", "revoked"};
 
-/// Answer to a revoke.
 enum class revoke_reply : std::uint8_t
 {
     not_run,    ///< it did not run and never will
     started,    ///< it is running
-    finished,   ///< it ran; its answer was sent on the first connection
-    ended,      ///< it started and nobody can tell what became of it
-    wrong_boot, ///< another process answers; nobody can tell
+    finished,   ///< it ran; its response was sent on the first connection
+    ended,      ///< it started and its result is unknown
+    wrong_boot, ///< another incarnation replied; whether it ran is unknown
 };
 
 inline constexpr std::array<std::string_view, 5> revoke_reply_names = {
     "not-run", "started", "finished", "ended", "wrong-boot"};
 
-/// Classes of work that a backend server's gate tells apart; beyond them the
-/// one that was seen least lately is forgotten.
+/// Maximum number of route classes per backend server; the least recently used
+/// one is evicted.
 constexpr std::size_t max_classes = 64;
 
-/// Work that asks to be let in.
 struct gate_request
 {
-    attempt_id attempt;            ///< which try of which request
-    boot_id boot{};                ///< process that the entry node means
-    mono_us stamp = 0;             ///< newest stamp that the entry node had
-    bool idempotent = false;       ///< may run twice; not remembered
-    bool may_probe = false;        ///< a failure would be tried again elsewhere
-    bool last_resort = false;      ///< found no room elsewhere
-    bool leaving = false;          ///< its entry node ends at the deadline
-    worker_id worker{};            ///< which backend server
-    int priority = 5;              ///< 0 first, 9 last
-    mono_us deadline = 0;          ///< on this process's clock
-    mono_us due = mono_never;      ///< until then an answer is worth all
-    span_us target = 0;            ///< from the caller's first byte to `due`
-    std::uint32_t route_class = 0; ///< of the route
+    attempt_id attempt;
+    boot_id boot{};              ///< incarnation it is addressed to
+    mono_us stamp = 0;           ///< newest stamp known to the entry node
+    bool idempotent = false;     ///< may run twice; not recorded
+    bool may_probe = false;      ///< may be retried elsewhere if it fails
+    bool is_fallback = false;    ///< refused by all other gates tried
+    bool entry_stopping = false; ///< its entry node stops at the deadline
+    worker_id worker{};
+    int priority = 5;         ///< 0 first, 9 last
+    mono_us deadline = 0;     ///< by this process's clock
+    mono_us due = mono_never; ///< soft deadline of the response
+    span_us target = 0;       ///< from the caller's first byte to `due`
+    std::uint32_t route_class = 0;
 };
 
-/// What was decided about work that was let in.
 enum class admission : std::uint8_t
 {
-    started, ///< has a slot now
-    queued,  ///< will get one or be refused
+    started, ///< holds a slot
+    queued,  ///< will get a slot or be refused
 };
 
-/// One remembered attempt.
 struct gate_record
 {
     gate_state state = gate_state::queued;
-    mono_us forget_at = 0; ///< not before; see gate_limits::keep()
+    mono_us expires_at = 0; ///< see gate_limits::record_ttl()
 };
 
-/// How work that has just begun tells of health.
-///
-/// The load that it answers: pieces of work take seconds, and a backend server
-/// that turns sick fails nine in ten of them within milliseconds. Judged by
-/// answers alone, what is known of it is as old as one piece of work: one that
-/// is well again stays a suspect until its probe ends. Taking work that
-/// outlives a quick failure for proof at once brought 0.015 of worth, the mean
-/// of ten pairs of small days with work of 0.3 to 3.3 s.
-struct proof_policy
+/// Early success detection. An unhealthy backend server fails most work within
+/// milliseconds, so long work that outlives this time is counted as a success
+/// before its response arrives.
+struct early_success_policy
 {
-    bool survival = true;
-    /// Work counts as long when it takes so many quick failures; of shorter
-    /// work the answer itself comes soon enough.
-    int long_work = 4;
+    bool enabled = true;
+    /// Minimum mean duration of long work, in multiples of
+    /// doubt_policy::quick_failure.
+    int min_duration_factor = 4;
 };
 
-/// Bounds of a gate.
 struct gate_limits
 {
-    /// Age of a stamp beyond which work is refused. A request that sat in a
-    /// socket for longer could outlive the note that it was revoked.
+    /// Maximum age of a stamp. Older work could outlive the record of its
+    /// revocation.
     span_us stamp_bound = 5 * us_per_s;
     span_us longest_deadline = 30 * us_per_s; ///< of any route
-    std::size_t records = 65536;              ///< remembered attempts
-    /// Waiting per backend server. The forecast bounds it long before; this
-    /// is for memory.
+    std::size_t records = 65536;              ///< maximum number of records
+    /// Maximum queue length per backend server; bounds memory only, since the
+    /// wait forecast refuses work long before.
     std::size_t queue = 64;
-    doubt_policy doubt; ///< when work is held back
-    /// Work may always wait so long: lookups with short targets are part of
-    /// somebody's request, which fails with them. While they wait, the slot of
-    /// that request stands idle elsewhere: with 1 s, lookups that were refused
-    /// in the end had filled the slots of the service that made them. 400 ms
-    /// instead brought 0.02 of worth on each of two overloaded days at 92 VMs.
+    doubt_policy doubt; ///< failure probability at which work is held back
+    /// Minimum time that work may wait in the queue, whatever its target.
+    /// Lookups with short targets are often made by running requests, which
+    /// fail with them.
     span_us min_wait = 400 * us_per_ms;
-    /// Whether late work waits for the slots that work in time leaves over.
+    /// Queues late work if the capacity left over by on-time work suffices.
     bool late_forecast = true;
-    bool short_first = true; ///< short targets come first in the queue
-    proof_policy proof;      ///< of health, by work that has just begun
-    /// Over which pressure is measured: longer than one piece of work, and
-    /// shorter than the seconds that a burst lasts.
-    span_us pressure_span = 2 * us_per_s;
-
-    /// How long an answer shows that so much work beside it was no overload.
-    /// Long enough for some answers of long work.
-    span_us served_span = 4 * us_per_s;
-
-    /// How long an attempt is remembered after its last change. A copy can
-    /// still arrive until its stamp is too old, and a question can come
-    /// until its deadline has passed; nothing can ask after both.
-    span_us keep() const
+    bool short_first = true; ///< sorts the queue by target
+    early_success_policy early_success;
+    /// Decay time of the on-time load: longer than a unit of work, shorter
+    /// than a burst.
+    span_us on_time_load_window = 2 * us_per_s;
+    /// Time for which a response proves that the concurrency beside it was no
+    /// overload.
+    span_us served_load_ttl = 4 * us_per_s;
+
+    /// Returns how long a record is kept after its last change. Copies arrive
+    /// until their stamp is too old, revocations until the deadline.
+    span_us record_ttl() const
     {
         return stamp_bound + longest_deadline;
     }
 };
 
-/// Work that began a moment ago. A sick backend server mostly fails at once.
-struct young_work
+/// Running work that has not yet outlived doubt_policy::quick_failure.
+struct recent_work
 {
     attempt_id attempt;
     std::uint32_t route_class = 0;
-    mono_us began = 0;
+    mono_us started_at = 0;
 };
 
-/// Work that waits for a slot.
 struct gate_waiting
 {
     attempt_id attempt;
@@ -174,52 +157,50 @@
     mono_us due = mono_never;
     span_us target = 0;
     std::uint32_t route_class = 0;
-    std::uint64_t serial = 0; ///< order of arrival among equals
-    bool leaving = false;     ///< its entry node ends at the deadline
+    std::uint64_t serial = 0; ///< order of arrival
+    bool entry_stopping = false;
 };
 
-/// One class of work at a backend server.
+/// Statistics of a route class at a backend server.
 struct gate_class
 {
-    span_us usual = 0;   ///< moving mean of the time it takes; 0 for not seen
-    mono_us seen_at = 0; ///< last work of it that came or ended
+    span_us mean_duration = 0; ///< moving mean; 0 when unknown
+    mono_us seen_at = 0;       ///< last use
 };
 
-/// One backend server behind the gate.
 struct gate_worker
 {
     worker_id id{};
-    double slots = 1;      ///< work that it takes at once
-    double limit = 1;      ///< adaptive; 1 <= limit <= slots
-    int in_flight = 0;     ///< started through this gate
-    int foreign = 0;       ///< started through a former process
-    bool draining = false; ///< takes no new work
-    span_us usual = 20000; ///< moving mean of the time that work takes
-    // Invariant: never more than max_classes.
-    std::unordered_map<std::uint32_t, gate_class> classes; ///< by class
-    mono_us lowered_at = 0; ///< when the limit was last lowered
-    int served_level = 0;   ///< most running work beside an answer, lately
-    mono_us served_at = 0;  ///< when that answer came
-    worker_doubt doubt;     ///< from the outcomes that were seen here
-    std::vector<young_work> young; ///< invariant: at most `slots`
-    double pressure = 0;     ///< share of its time taken by work let in in time
-    mono_us pressure_at = 0; ///< when that was last brought up to date
-    std::vector<gate_waiting> queue; ///< invariant: size <= limits.queue
+    double slots = 1;  ///< maximum concurrency
+    double limit = 1;  ///< adaptive concurrency limit; 1 <= limit <= slots
+    int in_flight = 0; ///< started by this process
+    int inherited = 0; ///< started by a previous incarnation
+    bool draining = false;
+    span_us mean_duration = 20000; ///< moving mean over all work
+    // Invariant: size <= max_classes.
+    std::unordered_map<std::uint32_t, gate_class> classes;
+    mono_us lowered_at = 0;     ///< last decrease of the limit
+    int served_concurrency = 0; ///< highest recent concurrency of a response
+    mono_us served_at = 0;      ///< time of that response
+    worker_doubt doubt;         ///< failure probability
+    std::vector<recent_work> recent; ///< invariant: size <= slots
+    double on_time_load = 0;         ///< share of its time used by on-time work
+    mono_us on_time_load_at = 0;     ///< last update of on_time_load
+    std::vector<gate_waiting> queue; ///< invariant: size <= gate_limits::queue
 };
 
-/// The whole gate. One process has one, used from one thread.
+/// Admission control of one process. Not thread-safe.
 struct gate
 {
     boot_id boot{}; ///< of this process
     gate_limits limits;
-    bool draining = false; ///< the node is leaving
-    std::uint64_t serial = 0;
-    // Invariant: holds every non-idempotent attempt that was let in or
-    // revoked within limits.keep(); never more than limits.records.
+    bool draining = false;    ///< the node is stopping
+    std::uint64_t serial = 0; ///< of the last queued work
+    // Invariant: holds every non-idempotent attempt that was admitted or
+    // revoked within limits.record_ttl(); size <= limits.records.
     std::unordered_map<attempt_id, gate_record, attempt_hash> records;
-    // Invariant: forget times never fall from front to back, because
-    // limits.keep() is the same for all.
-    std::deque<std::pair<mono_us, attempt_id>> forgetting;
+    // Invariant: sorted by expiry time, since all records have the same TTL.
+    std::deque<std::pair<mono_us, attempt_id>> expiry_queue;
     std::unordered_map<worker_id, gate_worker> workers;
 };
 
--- a/src/limit/limit_func.cpp
+++ b/src/limit/limit_func.cpp
@@ -1,4 +1,4 @@
-// Budgets and rate limits; see limit_type.hpp.
+// Retry budgets and team rate limits.
 #include "limit/limit_type.hpp"
 
 #include "base/text_func.hpp"
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Limit of a team, or the one of teams that the configuration does not name.
-team_limit limit_of(const fleet_config& c, const std::string& team)
+/// Returns the limit of a team, or the default for unknown teams.
+team_limit team_limit_of(const fleet_config& c, const std::string& team)
 {
     const auto it = c.teams.find(team);
     if (it != c.teams.end())
@@ -19,14 +19,13 @@
     return {c.version, c.default_team_rate, c.default_team_burst};
 }
 
-/// Which slice a moment falls in.
 std::int64_t slice_number(const retry_budget& b, mono_us now)
 {
     constexpr auto slices = static_cast<span_us>(budget_slices);
     return now / std::max<span_us>(1, b.window / slices);
 }
 
-/// The slice of a moment, emptied when an older one stood in its place.
+/// Returns the slice of a time, reset if its place held an older slice.
 budget_slice& slice_at(retry_budget& b, mono_us now)
 {
     const auto number = slice_number(b, now);
@@ -41,7 +40,7 @@
 void apply_fleet_allowance(retry_budget& b, const fleet_allowance& a,
                            span_us age)
 {
-    // A tenth is kept for nodes that do not know each other.
+    // The rest is a reserve for nodes that are not in each other's views.
     constexpr double used_share = 0.9;
     const double part = used_share * a.slack / static_cast<double>(a.nodes);
     const auto windows = static_cast<double>(age) /
@@ -81,7 +80,7 @@
     const int left = retries_left(b, now);
     if (left <= 0)
         return false;
-    // A granted one is in its lender's count already.
+    // The lender has already counted a granted retry.
     if (left <= b.granted)
         --b.granted;
     else
@@ -99,7 +98,7 @@
 bool take_team_token(allowance_book& b, const fleet_config& c,
                      const std::string& team, mono_us now)
 {
-    return take_allowance(b, text_hash(team), limit_of(c, team), 0,
+    return take_allowance(b, text_hash(team), team_limit_of(c, team), 0,
                           local_limit_policy(), now)
         .granted;
 }
--- a/src/limit/limit_type.hpp
+++ b/src/limit/limit_type.hpp
@@ -1,5 +1,5 @@
 // Limits at an entry node: retry budgets per service, rate limits per team.
-// Plain structs and free functions; time is passed in.
+// The caller passes in the time.
 #pragma once
 
 #include "base/time_type.hpp"
@@ -12,71 +12,67 @@
 
 namespace jasminetray {
 
-/// Requests and retries of one slice of a budget's window.
+/// Requests and retries in one slice of a budget's window.
 struct budget_slice
 {
-    std::int64_t number = 0; ///< of the slice since the clock's start
+    std::int64_t number = 0; ///< counted from the clock's start
     int requests = 0;        ///< first attempts
-    int retries = 0;         ///< arrivals beyond them
+    int retries = 0;         ///< further attempts
 };
 
-constexpr std::size_t budget_slices = 20; ///< of one window
+constexpr std::size_t budget_slices = 20; ///< per window
 
-/// Retries that one node may cause at a service. In any window they are at
-/// most a share of its own first attempts and a fixed number; so retries stay
-/// a fixed share of the load even in an outage, when a fixed number for each
-/// request would multiply it. Counted in the window itself, because a bucket
-/// of a size that is safe for the whole fleet (one token a node) threw away
-/// most of what was earned: a tenth of the allowance was used while one
-/// failure in two went to its caller unrepeated.
+/// Retries that one node may send to a service. Any window holds at most a
+/// share of the node's first attempts plus a fixed number, which bounds the
+/// load of retries during an outage. Counted over a sliding window, since a
+/// token bucket small enough for the whole fleet discards most of the budget.
 struct retry_budget
 {
     double share = 0;  ///< retries per first attempt
-    double fixed = 10; ///< beside them, in any window
+    double fixed = 10; ///< additional retries in any window
     span_us window = 10 * us_per_s;
     std::array<budget_slice, budget_slices> slices{};
-    int granted = 0; ///< retries that other nodes left to this one
+    int granted = 0; ///< retries granted by other nodes
 };
 
-/// The fleet's allowance: retries in any window are at most a share of its
-/// requests and a fixed number. Each node takes its part without asking.
+/// Retry allowance of the fleet: retries in any window are at most a share of
+/// its requests plus a fixed number. Each node uses its part independently.
 struct fleet_allowance
 {
     double share = 0; ///< of the requests
-    double slack = 0; ///< the fixed number, of the whole fleet
+    double slack = 0; ///< fixed number for the whole fleet
     span_us window = 10 * us_per_s;
     std::size_t nodes = 1; ///< that share it
 };
 
-/// Sizes a budget to this node's part of the fleet's allowance.
-/// @param age of this process: one that starts anew may have spent its part
-/// just before. Counted from the first request instead, callers of a fleet
-/// that had just begun to serve were not retried, and unknown backend servers
-/// not tried, for seconds.
+/// Sets a budget to this node's part of the fleet's allowance.
+/// @param age of this process; during the first window the fixed part is
+///        reduced, since the previous incarnation may have used it
 void apply_fleet_allowance(retry_budget& b, const fleet_allowance& a,
                            span_us age);
 
-/// A first attempt was sent.
+/// Counts a first attempt.
 void count_request(retry_budget& b, mono_us now);
 
-/// Retries left in the window that ends now, granted ones among them.
+/// Returns the retries left in the window that ends now, including granted
+/// ones.
 int retries_left(const retry_budget& b, mono_us now);
 
-/// Whether a retry is left in the window that ends now.
 bool may_retry(const retry_budget& b, mono_us now);
 
-/// Takes a retry out of the budget; false when there is none left.
+/// Takes a retry out of the budget.
+/// @return false when there is none left
 bool take_retry(retry_budget& b, mono_us now);
 
-/// Whether a request of a team may pass at this node; takes a token when it
-/// may. For fleets whose teams have no keys: the caller's word counts, and a
-/// limit holds at each entry node.
+/// Takes a token from a team's rate limit at this node. For fleets without team
+/// keys: the team header is trusted, and each entry node has its own limit.
 /// @param c configuration with the team's rate
 /// @param team value of the caller's team header; empty for none
+/// @return false when the limit is exceeded
 bool take_team_token(allowance_book& b, const fleet_config& c,
                      const std::string& team, mono_us now);
 
-/// What such limits are counted by: there is nobody to share them with.
+/// Returns the policy of limits that are not shared with other nodes.
 allowance_policy local_limit_policy();
 
 } // namespace jasminetray
--- a/src/quarantine/fingerprint_func.cpp
+++ b/src/quarantine/fingerprint_func.cpp
@@ -1,4 +1,4 @@
-// Fingerprints by SipHash; see fingerprint_func.hpp.
+// Request fingerprints with SipHash.
 #include "quarantine/fingerprint_func.hpp"
 
 #include "base/text_func.hpp"
@@ -25,8 +25,7 @@
     return hash;
 }
 
-/// Appends a part behind its length, so that no two sequences of parts give
-/// the same bytes.
+/// Appends a length-prefixed part, so that the encoding is unambiguous.
 void append(std::string& out, std::string_view part)
 {
     out += std::to_string(part.size());
--- a/src/quarantine/fingerprint_func.hpp
+++ b/src/quarantine/fingerprint_func.hpp
@@ -1,6 +1,6 @@
-// Fingerprints of requests: the same for one request that comes again at any
-// node with another id, and different for another body on the same path.
-// Keyed, so that no caller can craft a request with another one's fingerprint.
+// Request fingerprints: equal for repetitions of a request at any node, even
+// under another id. They are keyed, so that a caller can't craft a request with
+// the fingerprint of another one.
 #pragma once
 
 #include <array>
@@ -10,16 +10,16 @@
 
 namespace jasminetray {
 
-/// Keyed hash of what a request asks for.
+/// Keyed hash of a request's content.
 enum class fingerprint : std::uint64_t
 {
 };
 
-/// Key of the fingerprints; the same on all nodes of a cluster.
+/// Key of the fingerprints; equal on all nodes of a cluster.
 using fingerprint_key = std::array<unsigned char, 16>;
 
-/// What a request asks for and on whose behalf. Ids, deadlines and fields of
-/// one connection are no part of it, nor is the node where it enters.
+/// Parts of a request that its fingerprint covers. Ids, deadlines,
+/// connection-specific fields and the entry node are left out.
 struct request_content
 {
     std::string_view team; ///< empty for none
@@ -29,15 +29,14 @@
     std::string_view body;
 };
 
-/// Key of the fingerprints.
-/// @param cluster_key that the nodes authenticate each other by
+/// Derives the fingerprint key.
+/// @param cluster_key shared key of the nodes
 fingerprint_key make_fingerprint_key(const std::string& cluster_key);
 
-/// Fingerprint of a request.
 fingerprint fingerprint_of(const request_content& r,
                            const fingerprint_key& key);
 
-/// 16 hex digits.
+/// Formats a fingerprint as 16 hex digits.
 std::string to_text(fingerprint f);
 
 } // namespace jasminetray
--- a/src/quarantine/quarantine_cmd.cpp
+++ b/src/quarantine/quarantine_cmd.cpp
@@ -1,4 +1,4 @@
-// Commands of the quarantine; see quarantine_cmd.hpp.
+// Operations that change the quarantine.
 #include "quarantine/quarantine_cmd.hpp"
 
 #include "quarantine/quarantine_query.hpp"
@@ -27,7 +27,6 @@
     push_mark(b, m);
 }
 
-/// Removes the marks of a request that `is_old` selects.
 template <typename Predicate>
 void remove_marks(quarantine_book& b, std::vector<crash_mark>& marks,
                   Predicate is_old)
@@ -41,15 +40,15 @@
     marks.erase(first, marks.end());
 }
 
-/// Makes room for one more mark: the oldest of those that confirm nothing
-/// goes. A flood of suspects must not end a quarantine.
-/// @return false when there is no such mark that is older than `at`
+/// Makes room for one more mark by evicting the oldest one whose request is not
+/// quarantined, so that a flood of marks doesn't end a quarantine.
+/// @return false when there is no such mark older than `at`
 bool make_room(quarantine_book& b, mono_us at)
 {
     if (b.marks < b.policy.max_marks)
         return true;
     const crash_mark* oldest = nullptr;
-    for (const auto& [request, marks] : b.suspects) {
+    for (const auto& [request, marks] : b.marks_by_request) {
         if (is_quarantined(b, request))
             continue;
         for (const auto& m : marks) {
@@ -59,21 +58,21 @@
     }
     if (oldest == nullptr || oldest->at >= at)
         return false;
-    const auto it = b.suspects.find(oldest->request);
+    const auto it = b.marks_by_request.find(oldest->request);
     const auto process = oldest->process;
     remove_marks(b, it->second,
                  [&](const auto& m) { return m.process == process; });
     if (it->second.empty())
-        b.suspects.erase(it);
+        b.marks_by_request.erase(it);
     return true;
 }
 
-/// Takes one mark up.
-/// @return true when its request is in quarantine by it
+/// Adds a mark, or clears a known one.
+/// @return true when it starts the quarantine of its request
 bool take_mark(quarantine_book& b, const crash_mark& m, mono_us now)
 {
-    const auto it = b.suspects.find(m.request);
-    if (it != b.suspects.end()) {
+    const auto it = b.marks_by_request.find(m.request);
+    if (it != b.marks_by_request.end()) {
         const auto known =
             std::find_if(it->second.begin(), it->second.end(),
                          [&](const auto& x) { return x.process == m.process; });
@@ -86,10 +85,10 @@
     if (!make_room(b, m.at))
         return false;
     const bool was = is_quarantined(b, m.request);
-    b.suspects[m.request].push_back(m);
+    b.marks_by_request[m.request].push_back(m);
     ++b.marks;
     toggle_digest(b, m);
-    // An old one comes from a comparison, and the others have it.
+    // An older mark comes from a digest reply, so other nodes have it.
     if (now - m.at < b.policy.push_age)
         push_mark(b, m);
     return !was && is_quarantined(b, m.request);
@@ -101,51 +100,52 @@
 quarantine_record_crash(quarantine_book& b, process_id process,
                         const std::vector<fingerprint>& running, mono_us now)
 {
-    std::vector<fingerprint> begun;
+    std::vector<fingerprint> newly_quarantined;
     for (const auto f : running) {
         if (take_mark(b, {f, process, now, false}, now))
-            begun.push_back(f);
+            newly_quarantined.push_back(f);
     }
-    return begun;
+    return newly_quarantined;
 }
 
 std::vector<fingerprint>
 quarantine_apply_reports(quarantine_book& b,
                          const std::vector<crash_report>& reports, mono_us now)
 {
-    std::vector<fingerprint> begun;
+    std::vector<fingerprint> newly_quarantined;
     for (const auto& r : reports) {
-        // What others are about to forget must not come back from them.
-        if (r.age < 0 || r.age >= b.policy.memory)
+        // Nodes must not pass expired marks back and forth.
+        if (r.age < 0 || r.age >= b.policy.mark_ttl)
             continue;
         if (take_mark(b, {r.request, r.process, now - r.age, r.cleared}, now))
-            begun.push_back(r.request);
+            newly_quarantined.push_back(r.request);
     }
-    return begun;
+    return newly_quarantined;
 }
 
 bool quarantine_clear(quarantine_book& b, fingerprint request)
 {
-    const auto it = b.suspects.find(request);
-    bool stood = false;
-    if (it == b.suspects.end())
-        return stood;
+    const auto it = b.marks_by_request.find(request);
+    bool cleared_any = false;
+    if (it == b.marks_by_request.end())
+        return cleared_any;
     for (auto& m : it->second) {
         if (m.cleared)
             continue;
         clear_mark(b, m);
-        stood = true;
+        cleared_any = true;
     }
-    return stood;
+    return cleared_any;
 }
 
 void quarantine_expire(quarantine_book& b, mono_us now)
 {
-    for (auto it = b.suspects.begin(); it != b.suspects.end();) {
+    for (auto it = b.marks_by_request.begin();
+         it != b.marks_by_request.end();) {
         remove_marks(b, it->second, [&](const auto& m) {
-            return now - m.at >= b.policy.memory;
+            return now - m.at >= b.policy.mark_ttl;
         });
-        it = it->second.empty() ? b.suspects.erase(it) : std::next(it);
+        it = it->second.empty() ? b.marks_by_request.erase(it) : std::next(it);
     }
 }
 
--- a/src/quarantine/quarantine_query.cpp
+++ b/src/quarantine/quarantine_query.cpp
@@ -1,4 +1,4 @@
-// Questions to the quarantine; see quarantine_query.hpp.
+// Read-only queries of the quarantine.
 #include "quarantine/quarantine_query.hpp"
 
 #include "base/random_func.hpp"
@@ -19,8 +19,8 @@
 
 std::size_t crashes_of(const quarantine_book& b, fingerprint request)
 {
-    const auto it = b.suspects.find(request);
-    if (it == b.suspects.end())
+    const auto it = b.marks_by_request.find(request);
+    if (it == b.marks_by_request.end())
         return 0;
     return static_cast<std::size_t>(
         std::count_if(it->second.begin(), it->second.end(),
@@ -31,8 +31,8 @@
                                      fingerprint request, mono_us now)
 {
     std::vector<crash_report> reports;
-    const auto it = b.suspects.find(request);
-    if (it == b.suspects.end())
+    const auto it = b.marks_by_request.find(request);
+    if (it == b.marks_by_request.end())
         return reports;
     for (const auto& m : it->second)
         reports.push_back({m.request, m.process, now - m.at, m.cleared});
--- a/src/quarantine/quarantine_row.cpp
+++ b/src/quarantine/quarantine_row.cpp
@@ -1,4 +1,4 @@
-// Rows of the store; see quarantine_row.hpp.
+// Store rows of quarantined requests.
 #include "quarantine/quarantine_row.hpp"
 
 #include "base/text_func.hpp"
@@ -11,8 +11,8 @@
 std::string quarantine_row(const quarantine_book& b, fingerprint request,
                            mono_us now, std::uint64_t wall_ms)
 {
-    // One moment for all marks: they lie seconds apart and are kept for hours.
-    span_us age = b.policy.memory;
+    // One time serves all marks: they are seconds apart and kept for hours.
+    span_us age = b.policy.mark_ttl;
     std::string processes;
     for (const auto& r : reports_of(b, request, now)) {
         if (r.cleared)
--- a/src/quarantine/quarantine_row.hpp
+++ b/src/quarantine/quarantine_row.hpp
@@ -1,5 +1,5 @@
-// What the store keeps of a request in quarantine, as text: the moment of its
-// newest mark in milliseconds since 1970, then the processes that ended.
+// Store rows of quarantined requests, as text: the time of the newest mark in
+// milliseconds since 1970, then the ids of the crashed processes.
 #pragma once
 
 #include "quarantine/quarantine_type.hpp"
@@ -9,14 +9,15 @@
 
 namespace jasminetray {
 
-/// Text of a row.
-/// @param now by the clock that suspension does not stop
-/// @param wall_ms the same moment in milliseconds since 1970
+/// Formats the row of a request.
+/// @param now by the clock that runs during suspension
+/// @param wall_ms the same time in milliseconds since 1970
 std::string quarantine_row(const quarantine_book& b, fingerprint request,
                            mono_us now, std::uint64_t wall_ms);
 
-/// Marks of a row; nothing when it can't be read.
-/// @param key the request's fingerprint in hex
+/// Parses a row.
+/// @param key fingerprint of the request, in hex
+/// @return its marks; nothing when the row is malformed
 std::optional<std::vector<crash_report>>
 parse_quarantine_row(const std::string& key, const std::string& value,
                      std::uint64_t wall_ms);
--- a/src/quarantine/quarantine_spread.cpp
+++ b/src/quarantine/quarantine_spread.cpp
@@ -1,4 +1,4 @@
-// Pushes and comparisons; see quarantine_spread.hpp.
+// Gossip of crash marks.
 #include "quarantine/quarantine_spread.hpp"
 
 #include "quarantine/quarantine_query.hpp"
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// Datagrams that answer one digest. What does not fit comes with the next
-/// comparison; the marks are told from a random one on.
-constexpr std::size_t max_answers = 4;
+/// Maximum number of replies to one digest. They start at a random mark, so
+/// that later comparisons cover the rest.
+constexpr std::size_t max_reply_messages = 4;
 
 std::vector<quarantine_message>
 pack_reports(const quarantine_policy& p,
@@ -42,17 +42,17 @@
     return reports;
 }
 
-/// Marks of the buckets that differ; confirmed requests come first.
+/// Returns the marks in differing buckets, those of quarantined requests first.
 std::vector<crash_report>
 differing_reports(const quarantine_book& b,
-                  const std::vector<std::uint64_t>& theirs, random_state& rng,
-                  mono_us now)
+                  const std::vector<std::uint64_t>& remote_digest,
+                  random_state& rng, mono_us now)
 {
     std::vector<crash_report> confirmed;
     std::vector<crash_report> others;
-    for (const auto& [request, marks] : b.suspects) {
+    for (const auto& [request, marks] : b.marks_by_request) {
         const auto n = bucket_of(request);
-        if (theirs[n] == b.digest[n])
+        if (remote_digest[n] == b.digest[n])
             continue;
         auto& to = is_quarantined(b, request) ? confirmed : others;
         for (const auto& r : reports_of(b, request, now))
@@ -73,18 +73,18 @@
 quarantine_due quarantine_tick(quarantine_book& b, mono_us now)
 {
     quarantine_due due;
-    if (b.young_until == 0)
-        b.young_until = now + b.policy.young;
+    if (b.startup_until == 0)
+        b.startup_until = now + b.policy.startup_period;
     if (!b.pending.empty() && now >= b.push_at) {
         b.push_at = now + b.policy.push_every;
         due.push = pack_reports(b.policy, pending_reports(b, now));
     }
-    // Who knows nothing has nothing to compare, but for a process that may
-    // have known something before it started anew.
-    const bool young = now < b.young_until;
-    if ((young || !b.suspects.empty()) && now >= b.compare_at) {
-        b.compare_at = now + (young ? b.policy.young_compare_every
-                                    : b.policy.compare_every);
+    // A node without marks compares only after its start: it may have lost them
+    // in a restart.
+    const bool starting_up = now < b.startup_until;
+    if ((starting_up || !b.marks_by_request.empty()) && now >= b.compare_at) {
+        b.compare_at = now + (starting_up ? b.policy.startup_compare_every
+                                          : b.policy.compare_every);
         due.compare = true;
     }
     return due;
@@ -118,8 +118,8 @@
         return {};
     auto messages =
         pack_reports(b.policy, differing_reports(b, m.digest, rng, now));
-    if (messages.size() > max_answers)
-        messages.resize(max_answers);
+    if (messages.size() > max_reply_messages)
+        messages.resize(max_reply_messages);
     if (m.reply)
         return messages;
     if (messages.empty())
--- a/src/quarantine/quarantine_spread.hpp
+++ b/src/quarantine/quarantine_spread.hpp
@@ -1,7 +1,6 @@
-// How marks reach all nodes: new ones are pushed to a few nodes at once, and
-// each node compares what it knows with another one's from time to time, so
-// that what was lost on the way, or forgotten with a process, comes back.
-// Messages are returned, not sent; time and random numbers are passed in.
+// Gossip of crash marks: new marks are pushed to a few nodes at once, and
+// anti-entropy by digests repairs lost messages and restarted nodes. The caller
+// sends the returned messages and passes in time and random numbers.
 #pragma once
 
 #include "base/random_func.hpp"
@@ -9,26 +8,25 @@
 
 namespace jasminetray {
 
-/// What is due.
 struct quarantine_due
 {
     std::vector<quarantine_message> push; ///< each to `fanout` nodes
-    bool compare = false; ///< quarantine_compare() to one other node
+    bool compare = false; ///< send quarantine_compare() to one other node
 };
 
-/// Does what is due.
+/// Advances the timers and returns what is due.
 quarantine_due quarantine_tick(quarantine_book& b, mono_us now);
 
-/// Asks another node for what this one lacks.
+/// Returns a message that requests the marks this node lacks.
 quarantine_message quarantine_compare(const quarantine_book& b);
 
-/// Marks of some requests, for nodes that must know at once.
+/// Returns messages with all marks of some requests, for immediate sending.
 std::vector<quarantine_message>
 quarantine_announce(const quarantine_book& b,
                     const std::vector<fingerprint>& requests, mono_us now);
 
-/// Answers another node's digest; nothing when both know the same. The
-/// reports of the message must have been taken up before.
+/// Returns the replies to another node's digest; none when the digests are
+/// equal. The caller has applied the reports of the message before.
 std::vector<quarantine_message> quarantine_reply(const quarantine_book& b,
                                                  const quarantine_message& m,
                                                  random_state& rng,
--- a/src/quarantine/quarantine_type.hpp
+++ b/src/quarantine/quarantine_type.hpp
@@ -1,13 +1,10 @@
-// Quarantine of requests that crash the backend servers that run them. Each
-// node remembers which requests ran on a process when it ended, and tells all
-// other nodes; a request that ran at the end of several processes, with no
-// answer since, is refused by all.
+// Quarantine of requests that crash backend servers. A request that was running
+// on several processes when they crashed, with no response since, is refused by
+// all nodes.
 //
-// What nodes remember is a set of marks that only grows, and a mark only ever
-// turns from standing to cleared. So nodes may learn marks in any order, twice
-// or late, and still agree; no node needs to be asked, and a node that starts
-// anew gets the set from any other one. Plain data; quarantine_cmd.cpp changes
-// it, quarantine_spread.cpp passes it on.
+// The marks form a grow-only set in which a mark only ever changes from
+// standing to cleared. Nodes that receive them in any order, repeated or late,
+// still converge.
 #pragma once
 
 #include "base/time_type.hpp"
@@ -21,22 +18,21 @@
 
 namespace jasminetray {
 
-/// One process of a backend server. Another process under the same name has
-/// another id.
+/// Id of one process of a backend server; a restarted process has another one.
 enum class process_id : std::uint64_t
 {
 };
 
-/// A request ran on a process when it ended.
+/// A request that was running on a process when it crashed.
 struct crash_mark
 {
     fingerprint request{};
     process_id process{};
-    mono_us at = 0;       ///< when, by the clock that suspension does not stop
+    mono_us at = 0;       ///< by the clock that runs during suspension
     bool cleared = false; ///< the request was answered since, or released
 };
 
-/// A mark as nodes tell it to each other: their clocks differ.
+/// A mark as sent between nodes, which have different clocks.
 struct crash_report
 {
     fingerprint request{};
@@ -45,30 +41,28 @@
     bool cleared = false;
 };
 
-/// Times and sizes.
 struct quarantine_policy
 {
-    std::size_t crashes = 3;           ///< processes that ended, until refused
-    span_us memory = 86400 * us_per_s; ///< of a mark
-    std::size_t max_marks = 16384;     ///< the oldest unconfirmed go first
-    std::size_t max_reports = 32;      ///< in one datagram
-    std::size_t fanout = 2;            ///< nodes that a new mark is pushed to
-    int push_rounds = 2;               ///< how often
+    std::size_t crashes = 3; ///< crashed processes that start a quarantine
+    span_us mark_ttl = 86400 * us_per_s;
+    std::size_t max_marks = 16384; ///< evicts the oldest outside a quarantine
+    std::size_t max_reports = 32;  ///< per datagram
+    std::size_t fanout = 2;        ///< nodes that a new mark is pushed to
+    int push_rounds = 2;           ///< per mark
     span_us push_every = 100 * us_per_ms;
-    span_us push_age = 5 * us_per_s;  ///< of marks that are pushed
+    span_us push_age = 5 * us_per_s;  ///< maximum age of pushed marks
     span_us compare_every = us_per_s; ///< with one other node
-    /// A process that has just started compares more often: until it has the
-    /// marks of the others it lets through what they refuse.
-    span_us young_compare_every = 200 * us_per_ms;
-    span_us young = 5 * us_per_s;
+    /// Comparison interval after the start of the process: until it has the
+    /// marks of the others, it admits requests that they refuse.
+    span_us startup_compare_every = 200 * us_per_ms;
+    span_us startup_period = 5 * us_per_s;
 };
 
-constexpr std::size_t quarantine_buckets = 16; ///< of the comparison
+constexpr std::size_t quarantine_buckets = 16; ///< of the digest
 
-/// Hashes of the marks by bucket; equal when two nodes know the same.
+/// Hashes of the marks by bucket; equal on nodes that have the same marks.
 using quarantine_digest = std::array<std::uint64_t, quarantine_buckets>;
 
-/// A mark that waits to be pushed.
 struct pending_mark
 {
     fingerprint request{};
@@ -76,28 +70,27 @@
     int rounds = 0; ///< left
 };
 
-/// What a node remembers.
+/// Marks known to a node, and the state of their gossip.
 struct quarantine_book
 {
     quarantine_policy policy;
-    // Invariant: no vector is empty, and none has two marks of one process.
-    std::unordered_map<fingerprint, std::vector<crash_mark>> suspects;
-    std::size_t marks = 0; ///< in all; invariant: <= policy.max_marks
-    // Invariant: the XOR of the hashes of all marks of each bucket.
+    // Invariant: no vector is empty or has two marks of one process.
+    std::unordered_map<fingerprint, std::vector<crash_mark>> marks_by_request;
+    std::size_t marks = 0; ///< total; invariant: <= policy.max_marks
+    // Invariant: the XOR of the hashes of all marks in each bucket.
     quarantine_digest digest{};
-    std::deque<pending_mark> pending; ///< to be pushed
+    std::deque<pending_mark> pending;
     mono_us push_at = 0;
     mono_us compare_at = 0;
-    mono_us young_until = 0; ///< set by the first tick
+    mono_us startup_until = 0; ///< set by the first tick
 };
 
-/// What nodes send each other.
 struct quarantine_message
 {
     std::vector<crash_report> reports;
-    /// Of the sender; asks for what the sender lacks. Nothing in a push.
+    /// Digest of the sender; requests the marks that it lacks. Empty in a push.
     std::vector<std::uint64_t> digest;
-    bool reply = false; ///< answers a digest; the other side sends no other
+    bool reply = false; ///< answers a digest; ends the exchange
 };
 
 } // namespace jasminetray
--- a/test/fake_path.cpp
+++ b/test/fake_path.cpp
@@ -1,4 +1,4 @@
-// The fake between entry node and exit nodes; see fake_path.hpp.
+// Simulated network and exit nodes.
 #include "fake_path.hpp"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr worker_id only_worker{7};
-constexpr span_us fresh_stamp = 300 * us_per_ms; // older ones need a ping
+constexpr span_us fresh_stamp = 300 * us_per_ms; ///< older ones need a ping
 
 gate_limits fake_limits()
 {
@@ -22,10 +22,10 @@
 
 void set_up(fake_exit& x, boot_id boot)
 {
-    x.door = gate{};
-    x.door.boot = boot;
-    x.door.limits = fake_limits();
-    gate_set_worker(x.door, only_worker, 2, 0);
+    x.exit_gate = gate{};
+    x.exit_gate.boot = boot;
+    x.exit_gate.limits = fake_limits();
+    gate_set_worker(x.exit_gate, only_worker, 2, 0);
 }
 
 } // namespace
@@ -34,14 +34,14 @@
 {
     exits.resize(fake_exits);
     for (std::size_t n = 0; n < exits.size(); ++n) {
-        exits[n].clock_ahead = static_cast<mono_us>(n) * 77 * us_per_s;
+        exits[n].clock_offset = static_cast<mono_us>(n) * 77 * us_per_s;
         set_up(exits[n], static_cast<boot_id>(boots++));
     }
 }
 
 mono_us fake_path::clock_of(std::size_t exit) const
 {
-    return now + exits[exit].clock_ahead;
+    return now + exits[exit].clock_offset;
 }
 
 void fake_path::begin(bool idempotent, span_us deadline)
@@ -62,10 +62,10 @@
     auto& r = requests[seq];
     const auto actions = attempt_step(r.machine, e, budget, now, on.attempt);
     for (const auto& a : actions)
-        carry_out(seq, a);
+        execute(seq, a);
 }
 
-void fake_path::carry_out(std::uint64_t seq, const attempt_action& a)
+void fake_path::execute(std::uint64_t seq, const attempt_action& a)
 {
     auto& r = requests[seq];
     const attempt_id id{{node_id{1}, seq}, a.count};
@@ -79,17 +79,17 @@
         p.kind = packet_kind::revoke;
         p.attempt = id;
         p.exit = r.exit_of[a.count];
-        p.boot = exits[p.exit].door.boot; // a new connection
+        p.boot = exits[p.exit].exit_gate.boot; // over a new connection
         p.named = r.boot_of[a.count];
         packets.push_back(p);
         return;
     }
     case attempt_action_kind::deliver:
     case attempt_action_kind::refuse:
-        r.told = true;
+        r.completed = true;
         return;
     case attempt_action_kind::cancel:
-        return; // the connection closes; bytes on their way may still arrive
+        return; // sent bytes may still arrive
     }
 }
 
@@ -98,19 +98,19 @@
     auto& r = requests[seq];
     const auto exit = (seq + count) % fake_exits;
     r.exit_of[count] = exit;
-    const auto boot = exits[exit].door.boot;
+    const auto boot = exits[exit].exit_gate.boot;
     auto& stamp = stamps[exit];
     const bool known = stamp.first != boot_id{};
-    const auto age = now - stamp.second + exits[exit].stamp_ahead;
+    const auto age = now - stamp.second + exits[exit].stamp_offset;
     if (!known || age > fresh_stamp) {
-        // The entry node must ping; it learns the process and its stamp, or
-        // it has sent nothing.
+        // The entry node pings for the incarnation and its stamp; if that
+        // fails, nothing is sent.
         if (exits[exit].paused || exits[exit].mute) {
             r.boot_of[count] = boot;
             return feed(seq, {attempt_event_kind::unsent, count, "ping"});
         }
         stamp = {boot, clock_of(exit)};
-        exits[exit].stamp_ahead = exits[exit].clock_ahead;
+        exits[exit].stamp_offset = exits[exit].clock_offset;
     }
     r.boot_of[count] = stamp.first;
     packet p;
@@ -129,8 +129,8 @@
         return;
     n %= packets.size();
     const auto p = packets[n];
-    // No connection repeats bytes; the gate must not depend on that where
-    // it would cost a second run. Idempotent work is not remembered.
+    // Connections don't repeat bytes, but the gate must not rely on that for
+    // non-idempotent work.
     if (!again || requests[p.attempt.request.seq].idempotent)
         packets.erase(packets.begin() + static_cast<std::ptrdiff_t>(n));
     arrive(p);
@@ -142,7 +142,7 @@
     const bool to_exit =
         p.kind == packet_kind::work || p.kind == packet_kind::revoke;
     if (to_exit && x.paused) {
-        packets.push_back(p); // waits in the socket of a paused process
+        packets.push_back(p); // stays in the socket of the paused process
         return;
     }
     switch (p.kind) {
@@ -151,8 +151,8 @@
     case packet_kind::revoke: {
         packet back = p;
         back.kind = packet_kind::revoke_reply;
-        back.answer =
-            gate_revoke(x.door, p.attempt, p.named, clock_of(p.exit), on.gate);
+        back.answer = gate_revoke(x.exit_gate, p.attempt, p.named,
+                                  clock_of(p.exit), on.gate);
         if (!x.mute)
             packets.push_back(back);
         return;
@@ -160,27 +160,27 @@
     case packet_kind::reply: {
         const auto seq = p.attempt.request.seq;
         if (on.check_echo && p.payload != seq)
-            return tell(p.attempt, attempt_event_kind::lost);
+            return notify(p.attempt, attempt_event_kind::lost);
         if (p.event == attempt_event_kind::answer &&
             requests[seq].machine.outcome == final_outcome::open)
             requests[seq].payload = p.payload;
-        return tell(p.attempt, p.event);
+        return notify(p.attempt, p.event);
     }
     case packet_kind::revoke_reply:
         switch (p.answer) {
         case revoke_reply::not_run:
-            return tell(p.attempt, attempt_event_kind::revoke_not_run);
+            return notify(p.attempt, attempt_event_kind::revoke_not_run);
         case revoke_reply::started:
         case revoke_reply::finished:
-            return tell(p.attempt, attempt_event_kind::revoke_open);
+            return notify(p.attempt, attempt_event_kind::revoke_open);
         case revoke_reply::ended:
         case revoke_reply::wrong_boot:
-            return tell(p.attempt, attempt_event_kind::revoke_unknown);
+            return notify(p.attempt, attempt_event_kind::revoke_unknown);
         }
     }
 }
 
-void fake_path::tell(const attempt_id& a, attempt_event_kind kind)
+void fake_path::notify(const attempt_id& a, attempt_event_kind kind)
 {
     feed(a.request.seq, {kind, a.count, ""});
 }
@@ -211,10 +211,10 @@
     r.worker = only_worker;
     r.deadline = clock_of(p.exit) + us_per_s;
     gate_error last{};
-    const auto a = gate_admit(command_mode::apply, x.door, r, clock_of(p.exit),
-                              last, on.gate);
+    const auto a = gate_admit(command_mode::apply, x.exit_gate, r,
+                              clock_of(p.exit), last, on.gate);
     if (!a) {
-        return reply(p.exit, p.attempt, x.door.boot,
+        return reply(p.exit, p.attempt, x.exit_gate.boot,
                      last == gate_error::duplicate
                          ? attempt_event_kind::unknown
                          : attempt_event_kind::not_run);
@@ -225,7 +225,7 @@
 
 void fake_path::start(std::size_t exit, const gate_request& r)
 {
-    work.push_back({r, exit, exits[exit].door.boot, false});
+    work.push_back({r, exit, exits[exit].exit_gate.boot, false});
 }
 
 void fake_path::reach(std::size_t n)
@@ -233,9 +233,9 @@
     if (work.empty())
         return;
     auto& w = work[n % work.size()];
-    if (!w.reached && w.boot == exits[w.exit].door.boot)
+    if (!w.reached && w.boot == exits[w.exit].exit_gate.boot)
         ++requests[w.request.attempt.request.seq].runs;
-    w.reached = w.reached || w.boot == exits[w.exit].door.boot;
+    w.reached = w.reached || w.boot == exits[w.exit].exit_gate.boot;
 }
 
 void fake_path::end(std::size_t n, work_result how)
@@ -255,9 +255,9 @@
     if (!possible)
         return;
     work.erase(work.begin() + static_cast<std::ptrdiff_t>(n));
-    if (w.boot != exits[w.exit].door.boot)
-        return; // its process is gone; nobody hears of it
-    gate_finish(exits[w.exit].door, w.request, how, us_per_ms,
+    if (w.boot != exits[w.exit].exit_gate.boot)
+        return; // its exit process has been replaced
+    gate_finish(exits[w.exit].exit_gate, w.request, how, us_per_ms,
                 clock_of(w.exit));
     const auto event = how == work_result::answered ? attempt_event_kind::answer
                        : how == work_result::lost ? attempt_event_kind::unknown
@@ -272,17 +272,19 @@
         auto& x = exits[n];
         if (x.paused)
             continue;
-        gate_expire_records(x.door, clock_of(n));
-        for (const auto& d : gate_advance(x.door, only_worker, clock_of(n))) {
+        gate_expire_records(x.exit_gate, clock_of(n));
+        for (const auto& d :
+             gate_advance(x.exit_gate, only_worker, clock_of(n))) {
             gate_request r;
             r.attempt = d.attempt;
-            r.boot = x.door.boot;
+            r.boot = x.exit_gate.boot;
             r.worker = only_worker;
             r.idempotent = requests[d.attempt.request.seq].idempotent;
             if (d.start)
                 start(n, r);
             else
-                reply(n, d.attempt, x.door.boot, attempt_event_kind::not_run);
+                reply(n, d.attempt, x.exit_gate.boot,
+                      attempt_event_kind::not_run);
         }
     }
 }
@@ -297,11 +299,11 @@
         p.kind == packet_kind::revoke || p.kind == packet_kind::revoke_reply;
     packets.erase(packets.begin() + static_cast<std::ptrdiff_t>(n));
     if (noticed)
-        tell(p.attempt, question ? attempt_event_kind::revoke_unknown
-                                 : attempt_event_kind::lost);
+        notify(p.attempt, question ? attempt_event_kind::revoke_unknown
+                                   : attempt_event_kind::lost);
 }
 
-void fake_path::cross(std::size_t n, std::size_t m)
+void fake_path::swap_payloads(std::size_t n, std::size_t m)
 {
     if (packets.empty())
         return;
@@ -313,7 +315,6 @@
 
 void fake_path::advance(span_us by)
 {
-    // Timers fire on their way, in order.
     const auto until = now + by;
     while (true) {
         auto next = until;
@@ -338,10 +339,10 @@
     exit %= fake_exits;
     set_up(x, static_cast<boot_id>(boots++));
     x.paused = false;
-    // Another VM's clock, far behind: its stamps cannot be compared.
-    x.clock_ahead -= 3 * us_per_s;
-    // Connections to the former process are gone with all bytes on them;
-    // the entry node notices, or goes on waiting.
+    // The new process has another VM's clock, far behind the former one.
+    x.clock_offset -= 3 * us_per_s;
+    // Bytes on connections to the previous incarnation are lost; the entry node
+    // notices, or keeps waiting.
     std::vector<packet> broken;
     for (const auto& p : packets) {
         if (p.exit == exit && p.kind == packet_kind::work && noticed)
@@ -354,7 +355,7 @@
                                  }),
                   packets.end());
     for (const auto& p : broken)
-        tell(p.attempt, attempt_event_kind::lost);
+        notify(p.attempt, attempt_event_kind::lost);
 }
 
 void fake_path::pause(std::size_t exit, bool paused)
@@ -370,10 +371,10 @@
 void fake_path::drain(std::size_t exit)
 {
     auto& x = exits[exit % fake_exits];
-    x.door.draining = !x.door.draining;
+    x.exit_gate.draining = !x.exit_gate.draining;
 }
 
-std::string fake_path::broken() const
+std::string fake_path::violated_property() const
 {
     for (const auto& [seq, r] : requests) {
         if (!r.idempotent && r.runs > 1)
@@ -387,11 +388,11 @@
             return "no final answer at its deadline";
     }
     for (const auto& x : exits) {
-        if (x.door.records.size() > x.door.limits.records)
+        if (x.exit_gate.records.size() > x.exit_gate.limits.records)
             return "more records than allowed";
-        for (const auto& [id, w] : x.door.workers) {
+        for (const auto& [id, w] : x.exit_gate.workers) {
             if (w.in_flight > static_cast<int>(w.slots) ||
-                w.queue.size() > x.door.limits.queue)
+                w.queue.size() > x.exit_gate.limits.queue)
                 return "more work than slots";
         }
     }
--- a/test/fuzz_path.cpp
+++ b/test/fuzz_path.cpp
@@ -1,5 +1,5 @@
-// Stateful fuzzing of gate and attempt machine together. The oracle is a
-// count of what really ran at the backend servers.
+// Stateful fuzzing of the gate together with the attempt state machine. The
+// oracle counts how often each request ran at the backend servers.
 #include "fake_path.hpp"
 #include "fuzz_frame.hpp"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Nothing is predicted: the oracle counts instead.
+/// Empty, since the oracle predicts no state.
 struct path_model
 {
 };
@@ -17,7 +17,7 @@
 jt::fuzz_result result;
 std::chrono::steady_clock::time_point began;
 
-/// A world with the number of commands that it has seen.
+/// A simulation and the number of commands applied to it.
 struct counted_path
 {
     jt::fake_path path;
@@ -46,7 +46,7 @@
     {
         ++s.commands;
         apply_to(s.path);
-        const auto what = s.path.broken();
+        const auto what = s.path.violated_property();
         if (!what.empty())
             jt::note_broken(result, s.commands, began);
         RC_ASSERT(what == "");
@@ -69,7 +69,7 @@
         case 3:
             return p.lose(n, flag);
         case 4:
-            return p.cross(n, m);
+            return p.swap_payloads(n, m);
         case 5:
             return p.reach(n);
         case 6:
--- a/test/test_attempt.cpp
+++ b/test/test_attempt.cpp
@@ -1,4 +1,4 @@
-// The attempt machine's last resort: what a request does that found no room.
+// Attempt state machine: fallback to a suspect, and quarantined requests.
 #include "attempt/attempt_func.hpp"
 #include "limit/limit_type.hpp"
 
@@ -9,18 +9,18 @@
 
 constexpr mono_us begin_at = 100 * us_per_s;
 
-/// One request and what its machine asked for last.
+/// A request and the actions of its last step.
 struct one_request
 {
     request_state state;
     retry_budget budget;
     std::vector<attempt_action> actions;
 
-    explicit one_request(bool last_resort)
+    explicit one_request(bool use_fallback)
     {
         attempt_policy p;
         p.max_tries = 2;
-        p.last_resort = last_resort;
+        p.use_fallback = use_fallback;
         state = make_request(p, begin_at + us_per_s);
         step({attempt_event_kind::begin, 0, ""});
     }
@@ -37,9 +37,9 @@
     }
 };
 
-// Two gates in a row have no room. Without a last resort the caller is told
-// at once that its request has not run.
-TEST(last_resort, is_asked_once_after_the_gates_and_before_the_refusal)
+// Guards against a refusal without trying the fallback, and against trying it
+// twice.
+TEST(fallback, tried_once_before_refusal)
 {
     one_request r(true);
     r.step({attempt_event_kind::not_run, 1, "deadline-short"});
@@ -56,9 +56,8 @@
     EXPECT_EQ(without.only(), attempt_action_kind::refuse);
 }
 
-// The first backend server ran the request and its answer is lost. A charge
-// that was sent on to a suspect now could run twice.
-TEST(last_resort, is_not_for_what_may_have_run)
+// Guards against a second run of a request that may have run already.
+TEST(fallback, not_used_after_unknown_result)
 {
     one_request r(true);
     r.step({attempt_event_kind::unknown, 1, "worker-silent"});
@@ -66,9 +65,8 @@
     EXPECT_EQ(r.state.outcome, final_outcome::unknown);
 }
 
-// No suspect is there to be tried: the reason stays the one that the gates
-// gave, since that is what an engineer looks for.
-TEST(last_resort, keeps_the_gates_reason_when_nobody_is_left)
+// Guards against losing the gate's reason when no suspect is available.
+TEST(fallback, keeps_gate_reason_without_candidate)
 {
     one_request r(true);
     r.step({attempt_event_kind::not_run, 1, "deadline-short"});
@@ -78,16 +76,15 @@
     EXPECT_EQ(r.state.reason, "deadline-short");
 }
 
-// Guards against a request that crashes what runs it being sent to one backend
-// server after the other: a gate that knows it ends it at once.
-TEST(quarantined_request, is_sent_to_nobody_else)
+// Guards against sending a request that crashes backend servers to another one.
+TEST(quarantined_request, is_not_retried)
 {
     one_request r(true);
     r.step({attempt_event_kind::quarantined, 1, "quarantined"});
     EXPECT_EQ(r.only(), attempt_action_kind::refuse);
     EXPECT_EQ(r.state.outcome, final_outcome::not_run);
 
-    // It ran before, so nobody may say that it did not.
+    // The first attempt may have run, so the outcome is unknown.
     one_request again(true);
     again.state.policy.idempotent = true;
     again.step({attempt_event_kind::lost, 1, "worker-silent"});
--- a/test/test_fingerprint.cpp
+++ b/test/test_fingerprint.cpp
@@ -1,4 +1,4 @@
-// Fingerprints of requests.
+// Request fingerprints.
 #include "quarantine/fingerprint_func.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST(fingerprint, every_part_counts)
+TEST(fingerprint, depends_on_every_part)
 {
     const auto f = fingerprint_of(sample(), key);
     EXPECT_EQ(f, fingerprint_of(sample(), key));
@@ -38,7 +38,7 @@
     EXPECT_NE(f, fingerprint_of(r, key));
 }
 
-TEST(fingerprint, bytes_do_not_move_between_parts)
+TEST(fingerprint, parts_are_delimited)
 {
     const bool good = rc::check([] {
         const auto all = *rc::gen::container<std::string>(
@@ -54,7 +54,7 @@
     EXPECT_TRUE(good);
 }
 
-TEST(fingerprint, another_cluster_gives_another_one)
+TEST(fingerprint, depends_on_cluster_key)
 {
     EXPECT_NE(fingerprint_of(sample(), key),
               fingerprint_of(sample(), make_fingerprint_key("another key")));
--- a/test/test_limit.cpp
+++ b/test/test_limit.cpp
@@ -1,4 +1,4 @@
-// The retry allowance of the fleet, as each node takes its part of it.
+// Retry budgets and the fleet's retry allowance.
 #include "limit/limit_type.hpp"
 
 #include <gtest/gtest.h>
@@ -9,9 +9,9 @@
 
 constexpr mono_us start = 100 * us_per_s;
 
-// Every request of a service fails for a minute. 21 nodes may send one retry
-// in five requests and 60 more in ten seconds, together.
-TEST(allowance, nodes_together_stay_within_it)
+// Guards against a fleet that exceeds its retry allowance, or wastes it, while
+// every request fails.
+TEST(allowance, bounds_retries_of_all_nodes)
 {
     constexpr std::size_t nodes = 21;
     constexpr double per_node = 4; // requests a second
@@ -41,16 +41,14 @@
         }
         EXPECT_LE(sent, 0.2 * asked + 60);
     }
-    // And what is allowed is there to be used, also all at once.
     const double used = std::accumulate(retries.begin(), retries.end(), 0.0);
     const double minutes = 0.2 * per_node * nodes * 60 + 60 * 6;
     EXPECT_GE(used, 0.8 * minutes);
 }
 
-// A service is calm for a minute; then a backend server of it turns sick and
-// six requests in a row fail at one node. Each is tried again: what the node
-// did not use before is not lost for being unused.
-TEST(allowance, a_run_of_failures_is_met_after_a_calm_time)
+// Guards against a budget that discards unused retries before a burst of
+// failures.
+TEST(allowance, unused_retries_are_kept_for_a_failure_burst)
 {
     constexpr std::size_t nodes = 21;
     retry_budget b;
@@ -64,11 +62,10 @@
         EXPECT_TRUE(take_retry(b, now)) << k;
 }
 
-// A fleet has been up for a window when its first callers come, and the
-// backend server of the very first request turns out to be sick. The request
-// is tried again: a process that has run for so long has spent nothing. One
-// that has just started may have, under its former process.
-TEST(allowance, the_first_request_is_retried_unless_the_process_is_new)
+// Guards against a first request that isn't retried although the process has
+// run for a whole window. A new process may not retry it: its previous
+// incarnation may have used the budget.
+TEST(allowance, first_request_is_retried_unless_process_is_new)
 {
     constexpr span_us window = 10 * us_per_s;
     const fleet_allowance fleet{0.2, 60, window, 21};
@@ -82,9 +79,8 @@
     EXPECT_FALSE(take_retry(new_process, start));
 }
 
-// Guards against lent retries that are counted twice, or not at all: the lender
-// counts them in its own part.
-TEST(allowance, a_granted_retry_is_spent_once_and_after_the_own_ones)
+// Guards against counting a granted retry twice, or not at all.
+TEST(allowance, granted_retry_is_spent_once_after_own_retries)
 {
     retry_budget b;
     b.fixed = 1;
@@ -95,7 +91,7 @@
     EXPECT_TRUE(take_retry(b, start));
     EXPECT_EQ(b.granted, 0);
     EXPECT_FALSE(take_retry(b, start));
-    // The own one comes back with the window, the granted one does not.
+    // Only the node's own retry returns with the next window.
     EXPECT_EQ(retries_left(b, start + 2 * b.window), 1);
 }
 
--- a/test/test_limit_shed.cpp
+++ b/test/test_limit_shed.cpp
@@ -1,4 +1,4 @@
-// A gate's limit under backend servers that refuse work.
+// Adaptive concurrency limit of the gate under sheds.
 #include "gate/gate_cmd.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 constexpr mono_us start = 100 * us_per_s;
 constexpr int slots = 13;
 
-/// A gate under steady load; what is let in is ended by the test.
+/// A gate under steady load; the test ends the admitted work.
 struct loaded_gate
 {
     gate g;
@@ -20,11 +20,11 @@
     loaded_gate()
     {
         gate_set_worker(g, backend, slots, 0);
-        g.workers[backend].usual = us_per_s / 2;
+        g.workers[backend].mean_duration = us_per_s / 2;
     }
 
-    /// Lets one piece of work in, if the gate takes it at once.
-    bool let_in(mono_us now)
+    /// Offers one unit of work; returns whether it started at once.
+    bool admit(mono_us now)
     {
         gate_request r;
         r.attempt = {{static_cast<node_id>(1), next++}, 1};
@@ -50,20 +50,17 @@
     }
 };
 
-// For seconds the backend servers of a service refuse half of all work, at
-// any load. The gate took that for overload: its limit fell to one slot of 13,
-// and callers were refused for want of room at idle backend servers, until
-// long after the last refusal. What was answered beside as much work shows
-// that it is no overload.
-TEST(limit, refusals_at_any_load_leave_it_alone)
+// Guards against treating sheds at any load as overload, which would lower the
+// limit of an idle backend server to one slot.
+TEST(limit, unchanged_by_sheds_at_any_load)
 {
     loaded_gate x;
     mono_us now = start;
     for (int k = 0; k < 6; ++k)
-        x.let_in(now);
+        x.admit(now);
     for (int k = 0; k < 200; ++k) {
         now += 50 * us_per_ms;
-        if (x.let_in(now) && k % 2 == 1)
+        if (x.admit(now) && k % 2 == 1)
             x.end(work_result::shed, us_per_ms, now + us_per_ms);
         else
             x.end(work_result::answered, us_per_s / 2, now + us_per_ms);
@@ -71,16 +68,16 @@
     EXPECT_GE(x.g.workers[backend].limit, 10);
 }
 
-// A backend server that lost half of its room refuses all that goes beyond
-// it. The limit falls to what it still serves.
-TEST(limit, refusals_above_what_is_served_lower_it)
+// Guards against a limit that stays above the reduced capacity of a backend
+// server.
+TEST(limit, lowered_by_sheds_above_served_load)
 {
     constexpr std::size_t room = 5;
     loaded_gate x;
     mono_us now = start;
     for (int k = 0; k < 400; ++k) {
         now += 50 * us_per_ms;
-        for (int n = 0; n < 3 && x.let_in(now); ++n) {
+        for (int n = 0; n < 3 && x.admit(now); ++n) {
             if (x.running.size() > room)
                 x.end(work_result::shed, us_per_ms, now + us_per_ms);
         }
--- a/test/test_proof.cpp
+++ b/test/test_proof.cpp
@@ -1,6 +1,5 @@
-// Proof of health by work that has just begun, under the load that it answers:
-// pieces of work of seconds, and backend servers that turn sick and fail nine
-// in ten of them within milliseconds.
+// Early success detection, with work that takes seconds and unhealthy backend
+// servers that fail most of it within milliseconds.
 #include "base/random_func.hpp"
 #include "gate/gate_cmd.hpp"
 #include "gate/gate_query.hpp"
@@ -29,9 +28,9 @@
     g.limits.doubt.on = true;
     gate_set_worker(g, backend, slots, 0);
     auto& w = g.workers[backend];
-    w.usual = charge_time;
-    w.classes[lookup_class].usual = lookup_time;
-    w.classes[charge_class].usual = charge_time;
+    w.mean_duration = charge_time;
+    w.classes[lookup_class].mean_duration = lookup_time;
+    w.classes[charge_class].mean_duration = charge_time;
     w.doubt.at = start;
     return g;
 }
@@ -51,10 +50,9 @@
     return r;
 }
 
-// A backend server was sick and is well again. Its probe runs for more than a
-// second; callers are sent elsewhere until it ends, though it was plain after
-// 50 ms that the backend server does not fail at once any more.
-TEST(proof, a_probe_that_lives_brings_a_suspect_back_at_once)
+// Guards against holding back a recovered backend server until its long probes
+// end.
+TEST(early_success, probe_past_quick_failure_ends_suspicion)
 {
     auto g = make_gate();
     gate_report_outcome(g, backend, true, us_per_ms, start);
@@ -72,9 +70,8 @@
     EXPECT_FALSE(is_suspect(g, backend, now));
 }
 
-// Sick by hanging: work lives for long and never ends. That it lives shows
-// nothing then, and the suspect stays one.
-TEST(proof, survival_shows_nothing_of_a_sickness_that_shows_late)
+// Guards against early successes at a backend server that hangs.
+TEST(early_success, ignored_while_worker_hangs)
 {
     auto g = make_gate();
     gate_report_outcome(g, backend, true, 2 * us_per_s, start);
@@ -90,9 +87,9 @@
     EXPECT_TRUE(is_suspect(g, backend, now));
 }
 
-// Its failures come when its work is done. That new work lives through its
-// first milliseconds says nothing of it, also while it is trusted.
-TEST(proof, where_failures_come_late_survival_counts_for_nothing)
+// Guards against early successes at a trusted backend server that fails only
+// when its work ends.
+TEST(early_success, ignored_where_failures_come_late)
 {
     auto g = make_gate();
     for (int k = 0; k < 3; ++k)
@@ -108,18 +105,18 @@
     EXPECT_DOUBLE_EQ(d.sick, 0.3);
 }
 
-/// Seconds of two minutes for which a well backend server was held back,
-/// after phases of 3 s every 9 s, with the work that its entry nodes offer.
-double held_back_s(bool survival)
+/// Returns the seconds for which a healthy backend server was held back in two
+/// minutes with a failure phase of 3 s in every 9 s.
+double held_back_seconds(bool survival)
 {
     auto g = make_gate();
-    g.limits.proof.survival = survival;
+    g.limits.early_success.enabled = survival;
     random_state rng{7};
     std::vector<std::pair<mono_us, gate_request>> running;
     double held = 0;
     std::uint64_t seq = 0;
     for (mono_us now = start; now < start + 120 * us_per_s; now += step) {
-        const bool sick = (now - start) % (9 * us_per_s) >= 6 * us_per_s;
+        const bool unhealthy = (now - start) % (9 * us_per_s) >= 6 * us_per_s;
         for (std::size_t k = 0; k < running.size();) {
             if (running[k].first > now) {
                 ++k;
@@ -133,10 +130,10 @@
         auto r = work(++seq, now, false);
         r.route_class = charge_class;
         gate_error last{};
-        constexpr double each_step = 0.05; // five pieces a second
+        constexpr double each_step = 0.05; // five units of work per second
         const bool offered = random_unit(rng) < each_step;
         if (offered && gate_admit(command_mode::apply, g, r, now, last)) {
-            const bool fails = sick && random_unit(rng) < 0.9;
+            const bool fails = unhealthy && random_unit(rng) < 0.9;
             if (fails) {
                 gate_finish(g, r, work_result::lost, us_per_ms, now);
                 gate_report_outcome(g, backend, true, us_per_ms, now);
@@ -145,19 +142,18 @@
             }
         }
         gate_check_early_success(g, backend, now);
-        if (!sick && is_suspect(g, backend, now))
+        if (!unhealthy && is_suspect(g, backend, now))
             held += static_cast<double>(step) / us_per_s;
     }
     return held;
 }
 
-// A service has too few backend servers, a third of them is sick at any time,
-// and each that is well again waits for a whole piece of work before callers
-// reach it. Judged by survival it is back at least a third sooner.
-TEST(proof, the_well_are_back_sooner)
+// Guards against losing the benefit of early success detection: a recovered
+// backend server must be held back for a third less time.
+TEST(early_success, recovered_worker_is_trusted_sooner)
 {
-    const double before = held_back_s(false);
-    const double after = held_back_s(true);
+    const double before = held_back_seconds(false);
+    const double after = held_back_seconds(true);
     EXPECT_GT(before, 5);
     EXPECT_LE(3 * after, 2 * before) << "before " << before;
 }
--- a/test/test_quarantine.cpp
+++ b/test/test_quarantine.cpp
@@ -1,4 +1,4 @@
-// Quarantine of requests that crash what runs them: marks, their spread, rows.
+// Quarantine: crash marks, their gossip and store rows.
 #include "member/member_query.hpp"
 #include "quarantine/quarantine_cmd.hpp"
 #include "quarantine/quarantine_query.hpp"
@@ -22,10 +22,10 @@
     return static_cast<process_id>(n);
 }
 
-/// Nodes that reach each other unless a message is lost.
-struct small_fleet
+/// Nodes that exchange messages with random loss.
+struct simulated_fleet
 {
-    explicit small_fleet(std::size_t n) : books(n)
+    explicit simulated_fleet(std::size_t n) : books(n)
     {
     }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    std::size_t count_holding(fingerprint f) const
+    std::size_t count_quarantining(fingerprint f) const
     {
         std::size_t n = 0;
         for (const auto& b : books)
@@ -71,8 +71,8 @@
 
 } // namespace
 
-// Guards against a request that ends one process after the other.
-TEST(quarantine, begins_when_several_processes_ended)
+// Guards against a request that crashes one process after another.
+TEST(quarantine, begins_after_several_crashes)
 {
     quarantine_book b;
     EXPECT_TRUE(quarantine_record_crash(b, process(1), {bad, good}, 1).empty());
@@ -85,8 +85,8 @@
     EXPECT_FALSE(is_quarantined(b, good));
 }
 
-// Guards against counting the end of one process more than once.
-TEST(quarantine, one_process_counts_once)
+// Guards against counting a crash more than once.
+TEST(quarantine, process_counts_once)
 {
     quarantine_book b;
     for (int k = 0; k < 5; ++k)
@@ -95,8 +95,8 @@
     EXPECT_EQ(b.marks, 1U);
 }
 
-// Guards against refusing popular work that runs at the end of many processes.
-TEST(quarantine, an_answer_clears_what_stood_before_it)
+// Guards against refusing frequent requests that happen to run during crashes.
+TEST(quarantine, answer_clears_earlier_marks)
 {
     quarantine_book b;
     quarantine_record_crash(b, process(1), {good}, 1);
@@ -105,13 +105,13 @@
     EXPECT_FALSE(quarantine_clear(b, good));
     quarantine_record_crash(b, process(3), {good}, 3);
     EXPECT_FALSE(is_quarantined(b, good));
-    // Late reports of the former ends change nothing.
+    // Late reports of cleared marks change nothing.
     quarantine_apply_reports(b, {{good, process(1), 0, false}}, 4);
     EXPECT_EQ(crashes_of(b, good), 1U);
 }
 
-// Guards against a flood of suspects that pushes a quarantine out of memory.
-TEST(quarantine, a_flood_of_suspects_ends_no_quarantine)
+// Guards against a flood of marks that evicts those of a quarantined request.
+TEST(quarantine, survives_a_flood_of_marks)
 {
     quarantine_book b;
     b.policy.max_marks = 100;
@@ -125,22 +125,22 @@
     EXPECT_TRUE(is_suspect(b, static_cast<fingerprint>(999)));
 }
 
-TEST(quarantine, marks_are_forgotten)
+TEST(quarantine, marks_expire)
 {
     quarantine_book b;
     for (std::uint64_t k = 0; k < 3; ++k)
         quarantine_record_crash(b, process(k), {bad}, start);
-    quarantine_expire(b, start + b.policy.memory - 1);
+    quarantine_expire(b, start + b.policy.mark_ttl - 1);
     EXPECT_TRUE(is_quarantined(b, bad));
-    quarantine_expire(b, start + b.policy.memory);
-    EXPECT_TRUE(b.suspects.empty());
+    quarantine_expire(b, start + b.policy.mark_ttl);
+    EXPECT_TRUE(b.marks_by_request.empty());
     EXPECT_EQ(b.digest, quarantine_digest{});
     EXPECT_EQ(b.marks, 0U);
 }
 
-// Guards against nodes that disagree for good after they heard the same in
-// another order, twice, or in part only from each other.
-TEST(quarantine, nodes_agree_in_whatever_order_they_hear)
+// Guards against nodes that diverge after the same reports in another order,
+// repeated, or received from each other.
+TEST(quarantine, nodes_converge_in_any_report_order)
 {
     const bool held = rc::check([] {
         const auto steps = *rc::gen::container<std::vector<int>>(
@@ -179,25 +179,25 @@
     EXPECT_TRUE(held);
 }
 
-// Guards against ends that are seen by three nodes, none of which sees three.
-TEST(quarantine, all_nodes_know_soon_though_messages_are_lost)
+// Guards against a missed quarantine when each crash is seen by another node.
+TEST(quarantine, reaches_all_nodes_despite_message_loss)
 {
     constexpr span_us stable = 3 * us_per_s;
     for (const std::size_t size : {8U, 100U, 300U}) {
-        small_fleet f(size);
+        simulated_fleet f(size);
         f.loss = 0.3;
         for (std::size_t k = 0; k < 3; ++k)
             quarantine_record_crash(f.books[k], process(k), {bad, good}, start);
         for (mono_us now = start; now < start + stable; now += 20 * us_per_ms)
             f.tick(now);
-        EXPECT_EQ(f.count_holding(bad), size);
+        EXPECT_EQ(f.count_quarantining(bad), size);
     }
 }
 
-// Guards against a node that starts anew and lets through what others refuse.
-TEST(quarantine, a_node_that_starts_anew_learns_it_from_any_other)
+// Guards against a restarted node that admits requests that others refuse.
+TEST(quarantine, restarted_node_learns_marks_from_any_node)
 {
-    small_fleet f(30);
+    simulated_fleet f(30);
     for (std::uint64_t k = 0; k < 3; ++k)
         quarantine_record_crash(f.books[0], process(k), {bad}, start);
     mono_us now = start;
@@ -210,16 +210,16 @@
     EXPECT_TRUE(is_quarantined(f.books[7], bad));
 }
 
-// Guards against marks that old nodes hand to each other for ever.
-TEST(quarantine, what_is_too_old_is_not_taken_up_again)
+// Guards against expired marks that nodes pass back and forth forever.
+TEST(quarantine, expired_reports_are_ignored)
 {
     quarantine_book b;
-    quarantine_apply_reports(b, {{bad, process(1), b.policy.memory, false}},
+    quarantine_apply_reports(b, {{bad, process(1), b.policy.mark_ttl, false}},
                              start);
-    EXPECT_TRUE(b.suspects.empty());
+    EXPECT_TRUE(b.marks_by_request.empty());
 }
 
-TEST(quarantine, fits_a_datagram_and_is_read_back)
+TEST(quarantine, message_fits_a_datagram_and_round_trips)
 {
     quarantine_book b;
     std::vector<fingerprint> running;
@@ -246,8 +246,8 @@
     EXPECT_TRUE(read->quarantine.reply);
 }
 
-// Guards against a fleet that is started anew as a whole and remembers nothing.
-TEST(quarantine, a_row_brings_it_back)
+// Guards against losing the quarantine when the whole fleet restarts.
+TEST(quarantine, restored_from_stored_row)
 {
     constexpr std::uint64_t wall_ms = 1'700'000'000'000;
     quarantine_book b;
@@ -259,20 +259,20 @@
     ASSERT_TRUE(reports);
     ASSERT_EQ(reports->size(), 4U);
     EXPECT_EQ(reports->front().age, 2 * us_per_s);
-    quarantine_book anew;
-    quarantine_apply_reports(anew, *reports, start);
-    EXPECT_TRUE(is_quarantined(anew, bad));
+    quarantine_book restored;
+    quarantine_apply_reports(restored, *reports, start);
+    EXPECT_TRUE(is_quarantined(restored, bad));
 }
 
-// Guards against rows that somebody else wrote.
-TEST(quarantine, rows_that_cannot_be_read_name_nobody)
+// Guards against accepting malformed rows.
+TEST(quarantine, malformed_rows_are_rejected)
 {
     EXPECT_FALSE(parse_quarantine_row("not hex", "1 2", 5));
     EXPECT_FALSE(parse_quarantine_row("1", "", 5));
     EXPECT_FALSE(parse_quarantine_row("1", "soon 2", 5));
     EXPECT_FALSE(parse_quarantine_row("1", "-1 2", 5));
     EXPECT_FALSE(parse_quarantine_row("1", "1 2 x", 5));
-    // A clock that was ahead makes no mark older than new.
+    // A row from a clock that was ahead gives an age of zero.
     const auto reports = parse_quarantine_row("1", "99 2", 5);
     ASSERT_TRUE(reports);
     EXPECT_EQ(reports->front().age, 0);
@@ -282,8 +282,8 @@
     }));
 }
 
-// Guards against a message of another cluster or too many reports.
-TEST(quarantine, messages_out_of_bounds_are_dropped)
+// Guards against messages of other clusters and messages with too many reports.
+TEST(quarantine, out_of_bounds_messages_are_rejected)
 {
     gossip_message m;
     m.kind = gossip_kind::quarantine;
