--- a/src/gate/gate_cmd.cpp
+++ b/src/gate/gate_cmd.cpp
@@ -1,7 +1,7 @@
 // Commands of the gate; see gate_cmd.hpp.
 #include "gate/gate_cmd.hpp"
 
-#include "gate/gate_proof.hpp"
+#include "gate/gate_early_success.hpp"
 #include "gate/gate_queue.hpp"
 
 #include <algorithm>
--- a/src/gate/gate_proof.cpp
+++ b/src/gate/gate_early_success.cpp
@@ -1,5 +1,5 @@
 // Early success detection.
-#include "gate/gate_proof.hpp"
+#include "gate/gate_early_success.hpp"
 
 #include "gate/gate_queue.hpp"
 
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -5,8 +5,8 @@
 #include "node/http_func.hpp"
 #include "node/quarantine_store.hpp"
 #include "quarantine/quarantine_cmd.hpp"
+#include "quarantine/quarantine_gossip.hpp"
 #include "quarantine/quarantine_query.hpp"
-#include "quarantine/quarantine_spread.hpp"
 
 #include <algorithm>
 
--- a/src/quarantine/quarantine_spread.cpp
+++ b/src/quarantine/quarantine_gossip.cpp
@@ -1,5 +1,5 @@
 // Gossip of crash marks.
-#include "quarantine/quarantine_spread.hpp"
+#include "quarantine/quarantine_gossip.hpp"
 
 #include "quarantine/quarantine_query.hpp"
 
--- a/test/test_quarantine.cpp
+++ b/test/test_quarantine.cpp
@@ -1,9 +1,9 @@
 // Quarantine: crash marks, their gossip and store rows.
 #include "member/member_query.hpp"
 #include "quarantine/quarantine_cmd.hpp"
+#include "quarantine/quarantine_gossip.hpp"
 #include "quarantine/quarantine_query.hpp"
 #include "quarantine/quarantine_row.hpp"
-#include "quarantine/quarantine_spread.hpp"
 #include "wire/wire_func.hpp"
 
 #include <gtest/gtest.h>
