--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -136,7 +136,7 @@
     auto& w = it->second;
     if (c->name == "drain" || c->name == "undrain") {
         audit(n, event_id::operator_drain, *c, who);
-        drain_worker(n, c->worker, c->name == "drain");
+        set_operator_drain(n, c->worker, c->name == "drain");
     } else if (c->name == "eject") {
         audit(n, event_id::operator_eject, *c, who);
         w.by_operator = c->force ? forced_severity : operator_severity;
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -52,7 +52,7 @@
     const auto a = parse_announcement(body, why);
     if (!a)
         return make(http::status::bad_request, "{\"error\":\"" + why + "\"}\n");
-    take_announcement(n, *a);
+    handle_announcement(n, *a);
     return make(http::status::ok, "{}\n");
 }
 
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -35,7 +35,7 @@
         return;
     n.events.write(event_id::worker_gone, it->second.name,
                    "service=" + it->second.service + " reason=" + why);
-    tell_queued(n, gate_remove_worker(n.door, id, mono_now()));
+    deliver_gate_decisions(n, gate_remove_worker(n.door, id, mono_now()));
     n.workers.erase(it);
 }
 
@@ -76,7 +76,7 @@
                                " ended=" + std::to_string(w.busy.size()));
             end_busy(w);
         }
-        note_replaced(n, w);
+        handle_worker_replaced(n, w);
         return remove_worker(n, other, "replaced");
     }
 }
@@ -93,7 +93,7 @@
     w.health.usual = usual;
     w.health.cold_until =
         mono_now() + (a.sequence != 0 ? a.cold_for : n.balance.ramp);
-    refresh_policies(n);
+    refresh_ejection_policies(n);
     n.events.write(event_id::worker_announced, a.name,
                    "service=" + a.service +
                        " slots=" + std::to_string(a.slots) +
@@ -143,7 +143,7 @@
     return a;
 }
 
-worker_id take_announcement(node_state& n, const announcement& a)
+worker_id handle_announcement(node_state& n, const announcement& a)
 {
     const auto id = id_of(n, a);
     if (a.leaving) {
@@ -162,14 +162,15 @@
     w.draining = a.draining;
     w.announced_at = mono_now();
     gate_set_worker(n.door, id, a.slots, a.busy);
-    tell_queued(n, gate_drain_worker(n.door, id, w.draining || w.drained_here,
-                                     mono_now()));
+    deliver_gate_decisions(n, gate_drain_worker(n.door, id,
+                                                w.draining || w.drained_here,
+                                                mono_now()));
     if (changed)
         publish_self(n);
     return id;
 }
 
-void tick_announcements(node_state& n, mono_us now)
+void expire_workers(node_state& n, mono_us now)
 {
     std::vector<worker_id> gone;
     for (const auto& [id, w] : n.workers) {
@@ -182,25 +183,26 @@
         publish_self(n);
 }
 
-void drain_worker(node_state& n, worker_id id, bool draining)
+void set_operator_drain(node_state& n, worker_id id, bool draining)
 {
     const auto it = n.workers.find(id);
     if (it == n.workers.end())
         return;
     it->second.drained_here = draining;
-    tell_queued(n,
-                gate_drain_worker(n.door, id, draining || it->second.draining,
-                                  mono_now()));
+    deliver_gate_decisions(n, gate_drain_worker(n.door, id,
+                                                draining || it->second.draining,
+                                                mono_now()));
     publish_self(n);
 }
 
-void forget_worker(node_state& n, worker_id id, const std::string& why)
+void deregister_worker(node_state& n, worker_id id, const std::string& why)
 {
     remove_worker(n, id, why);
     publish_self(n);
 }
 
-void tell_queued(node_state& n, const std::vector<gate_decision>& decisions)
+void deliver_gate_decisions(node_state& n,
+                            const std::vector<gate_decision>& decisions)
 {
     for (const auto& d : decisions) {
         const auto it = n.tickets.find(d.attempt);
--- a/src/node/announce.hpp
+++ b/src/node/announce.hpp
@@ -11,18 +11,19 @@
                                                std::string& why);
 
 /// Takes an announcement up.
-worker_id take_announcement(node_state& n, const announcement& a);
+worker_id handle_announcement(node_state& n, const announcement& a);
 
 /// Forgets a backend server; what waits for it is refused as not run.
-void forget_worker(node_state& n, worker_id id, const std::string& why);
+void deregister_worker(node_state& n, worker_id id, const std::string& why);
 
 /// Tells queued work what was decided.
-void tell_queued(node_state& n, const std::vector<gate_decision>& decisions);
+void deliver_gate_decisions(node_state& n,
+                            const std::vector<gate_decision>& decisions);
 
 /// Forgets backend servers that have fallen silent.
-void tick_announcements(node_state& n, mono_us now);
+void expire_workers(node_state& n, mono_us now);
 
 /// Stops or resumes new work for a backend server, by an operator.
-void drain_worker(node_state& n, worker_id id, bool draining);
+void set_operator_drain(node_state& n, worker_id id, bool draining);
 
 } // namespace jasminetray
--- a/src/node/crash_watch.cpp
+++ b/src/node/crash_watch.cpp
@@ -53,7 +53,7 @@
     n.events.write(event_id::worker_crashed, w.name,
                    "service=" + w.service + " evidence=" + evidence +
                        " running=" + text);
-    note_crash(n, w, running);
+    record_worker_crash(n, w, running);
 }
 
 /// Whether an address refuses connections.
@@ -86,8 +86,8 @@
 
 } // namespace
 
-void note_lost_work(node_state& n, worker_id id, const string_request& m,
-                    bool closed)
+void record_lost_work(node_state& n, worker_id id, const string_request& m,
+                      bool closed)
 {
     const auto it = n.workers.find(id);
     if (it == n.workers.end())
@@ -107,7 +107,7 @@
         asio::detached);
 }
 
-void note_replaced(node_state& n, local_worker& w)
+void handle_worker_replaced(node_state& n, local_worker& w)
 {
     if (!w.draining)
         report_crash(n, w, "replaced");
--- a/src/node/crash_watch.hpp
+++ b/src/node/crash_watch.hpp
@@ -13,10 +13,10 @@
 /// @param closed the backend server ended the connection; else the work was
 ///        cancelled by its caller, and is suspect only if the process ends
 ///        within a moment
-void note_lost_work(node_state& n, worker_id id, const string_request& m,
-                    bool closed);
+void record_lost_work(node_state& n, worker_id id, const string_request& m,
+                      bool closed);
 
 /// Another process has taken the place of `w`, which was not draining.
-void note_replaced(node_state& n, local_worker& w);
+void handle_worker_replaced(node_state& n, local_worker& w);
 
 } // namespace jasminetray
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -42,8 +42,8 @@
         s.remaining = n.last_answer_at - mono_now();
         return to_text(s);
     };
-    return ask_peer(n, exit, share.address, shorten_path, text,
-                    mono_now() + notice_bound, y)
+    return send_peer_request(n, exit, share.address, shorten_path, text,
+                             mono_now() + notice_bound, y)
         .has_value();
 }
 
@@ -127,7 +127,7 @@
         if (granted >= wanted || it == n.view.nodes.end())
             break;
         loan.count = wanted - granted;
-        const auto text = ask_peer(
+        const auto text = send_peer_request(
             n, id, it->second.record.address, retry_path,
             [&loan] { return to_text(loan); }, mono_now() + loan_bound, y);
         const auto answer = text ? parse_retry_loan(*text) : std::nullopt;
@@ -204,7 +204,7 @@
             ++granted;
     }
     loan->count = granted;
-    return answer_peer(to, to_text(*loan), y);
+    return send_peer_reply(to, to_text(*loan), y);
 }
 
 void shorten_requests(node_state& n)
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -82,7 +82,7 @@
         return std::nullopt;
     const auto deadline =
         mono_now() + (a.passed_on ? passed_on_bound : ask_bound);
-    const auto text = ask_peer(
+    const auto text = send_peer_request(
         n, id, it->second.record.address, allowance_path,
         [&a] { return to_text(a); }, deadline, y);
     const auto answer = text ? parse_allowance_answer(*text) : std::nullopt;
@@ -276,7 +276,7 @@
         answer =
             take_allowance(n.allowances, ask->team, ask->limit, ask->patience,
                            allowance_policy_of(n), mono_now());
-    return answer_peer(to, to_text(*answer), y);
+    return send_peer_reply(to, to_text(*answer), y);
 }
 
 } // namespace jasminetray
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -99,7 +99,7 @@
     a.suspect = is_suspect(n.door, id, now);
     const auto it = n.workers.find(id);
     if (it != n.workers.end())
-        a.severity = claim_for(it->second, w.source);
+        a.severity = severity_for_source(it->second, w.source);
     // Only work that must not run twice needs to know whose process this is.
     if (!w.request.idempotent) {
         a.boot = n.door.boot;
@@ -251,10 +251,10 @@
     }
     for (const auto id : touched)
         advance_gate(n, id);
-    return answer_peer(to, "", y);
+    return send_peer_reply(to, "", y);
 }
 
-bool send_answer(node_state& n, const exit_work& w, worker_answer& a,
+bool send_answer(node_state& n, const exit_work& w, worker_exchange& a,
                  beast::tcp_stream& to, const yield& y)
 {
     auto& answer = a.parser->get();
@@ -281,7 +281,7 @@
 /// What lost work was, for the log: with its id alone the same request that
 /// came again could not be told from another one.
 std::string lost_text(const node_state& n, const exit_work& w,
-                      const worker_answer& a)
+                      const worker_exchange& a)
 {
     if (a.end != work_result::lost)
         return "";
@@ -298,9 +298,9 @@
                  const yield& y)
 {
     const auto began = mono_now();
-    auto a = run_on_worker(n, w.message, w.request, w.source, stream, y);
+    auto a = execute_on_worker(n, w.message, w.request, w.source, stream, y);
     // Doubt moves before the answer goes out, so that the answer carries it.
-    note_doubt(n, w.request.worker, a.seen, mono_now() - began);
+    record_gate_outcome(n, w.request.worker, a.seen, mono_now() - began);
     bool alive = true;
     if (a.end == work_result::answered) {
         alive = send_answer(n, w, a, stream, y);
@@ -310,10 +310,10 @@
             a.closed = a.link && peer_closed(a.link->stream.socket());
         }
         if (a.closed)
-            note_lost_work(n, w.request.worker, w.message, true);
+            record_lost_work(n, w.request.worker, w.message, true);
         if (whole && a.parser->get().result_int() < first_failure)
-            note_survived(n, w.message, w.content);
-        end_on_worker(n, w.request, a, whole);
+            clear_answered_request(n, w.message, w.content);
+        finish_on_worker(n, w.request, a, whole);
     }
     const auto now = mono_now();
     gate_finish(n.door, w.request, a.end, now - began, now);
@@ -328,7 +328,7 @@
             lost_text(n, w, a) + " us=" + std::to_string(mono_now() - began));
     advance_gate(n, w.request.worker);
     count(*n.metrics.gate, "decision", a.reason.empty() ? "ran" : a.reason);
-    if (a.end == work_result::answered || a.parser_sent)
+    if (a.end == work_result::answered || a.head_forwarded)
         return alive;
     const bool ran = a.end == work_result::lost;
     return send_refusal(n, w, stream,
@@ -385,12 +385,13 @@
     a.outcome = hop_outcome::answer;
     a.boot = n.door.boot;
     a.stamp = mono_now();
-    return answer_peer(to, to_text(a), y);
+    return send_peer_reply(to, to_text(a), y);
 }
 
 } // namespace
 
-void serve_exit(node_state& n, beast::tcp_stream stream, const yield& y)
+void serve_exit_connection(node_state& n, beast::tcp_stream stream,
+                           const yield& y)
 {
     beast::flat_buffer buf;
     bool alive = true;
@@ -419,19 +420,19 @@
 
 void advance_gate(node_state& n, worker_id w)
 {
-    tell_queued(n, gate_advance(n.door, w, mono_now()));
+    deliver_gate_decisions(n, gate_advance(n.door, w, mono_now()));
 }
 
 void tick_gate(node_state& n, mono_us now)
 {
     gate_expire_records(n.door, now);
     for (const auto& [id, w] : n.workers) {
-        note_survival(n, id, now);
+        record_early_success(n, id, now);
         advance_gate(n, id);
     }
 }
 
-revoke_reply answer_revoke(node_state& n, const attempt_id& a, boot_id boot)
+revoke_reply handle_revoke(node_state& n, const attempt_id& a, boot_id boot)
 {
     const auto reply =
         gate_revoke(n.door, a, boot, mono_now(), n.safeguards.gate);
--- a/src/node/exit_server.hpp
+++ b/src/node/exit_server.hpp
@@ -7,7 +7,8 @@
 namespace jasminetray {
 
 /// Serves one connection of an entry node until it ends.
-void serve_exit(node_state& n, beast::tcp_stream stream, const yield& y);
+void serve_exit_connection(node_state& n, beast::tcp_stream stream,
+                           const yield& y);
 
 /// Gives out slots that became free and refuses queued work that is late.
 void advance_gate(node_state& n, worker_id w);
@@ -16,6 +17,6 @@
 void tick_gate(node_state& n, mono_us now);
 
 /// Answers an entry node's revoke.
-revoke_reply answer_revoke(node_state& n, const attempt_id& a, boot_id boot);
+revoke_reply handle_revoke(node_state& n, const attempt_id& a, boot_id boot);
 
 } // namespace jasminetray
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -100,7 +100,7 @@
     n.service_places.clear();
     for (std::size_t k = 0; k < n.config->services.size(); ++k)
         n.service_places[service_of(n.config->services[k].name)] = k;
-    refresh_policies(n);
+    refresh_ejection_policies(n);
     apply_all_claims(n);
 }
 
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -188,8 +188,8 @@
 
 } // namespace
 
-void note_outcome(node_state& n, local_worker& w, std::uint64_t key,
-                  const observation& o, mono_us now)
+void record_worker_outcome(node_state& n, local_worker& w, std::uint64_t key,
+                           const observation& o, mono_us now)
 {
     health_seen(w.health, w.policy, key, o, now);
     check(n, w, now);
@@ -215,30 +215,32 @@
 void note_silence(node_state& n, worker_id id, mono_us now)
 {
     const bool was = is_suspect(n.door, id, now);
-    tell_queued(n, gate_report_overdue(n.door, id, now));
+    deliver_gate_decisions(n, gate_report_overdue(n.door, id, now));
     tell_suspicion(n, id, was, "silence");
 }
 
 } // namespace
 
-void note_survival(node_state& n, worker_id id, mono_us now)
+void record_early_success(node_state& n, worker_id id, mono_us now)
 {
     const bool was = is_suspect(n.door, id, now);
     gate_check_early_success(n.door, id, now);
     tell_suspicion(n, id, was, "survival");
 }
 
-void note_doubt(node_state& n, worker_id id, outcome_kind seen, span_us took)
+void record_gate_outcome(node_state& n, worker_id id, outcome_kind seen,
+                         span_us took)
 {
     if (seen == outcome_kind::neutral)
         return;
     const bool was = is_suspect(n.door, id, mono_now());
     const bool failed = seen == outcome_kind::failed;
-    tell_queued(n, gate_report_outcome(n.door, id, failed, took, mono_now()));
+    deliver_gate_decisions(
+        n, gate_report_outcome(n.door, id, failed, took, mono_now()));
     tell_suspicion(n, id, was, failed ? "failure" : "success");
 }
 
-void tick_loads(node_state& n, mono_us now)
+void publish_load_reports(node_state& n, mono_us now)
 {
     if (!n.settings.experiment.has(mechanism::load_news))
         return;
@@ -261,7 +263,7 @@
         n.control.tell_loads(std::move(changed));
 }
 
-void take_loads(node_state& n, const std::vector<load_report>& loads)
+void apply_load_reports(node_state& n, const std::vector<load_report>& loads)
 {
     const auto now = mono_now();
     for (const auto& l : loads) {
@@ -271,7 +273,7 @@
     }
 }
 
-void tick_health(node_state& n, mono_us now)
+void evaluate_workers(node_state& n, mono_us now)
 {
     for (auto& [id, w] : n.workers) {
         check(n, w, now);
@@ -283,7 +285,7 @@
     }
 }
 
-int claim_for(const local_worker& w, std::uint32_t source)
+int severity_for_source(const local_worker& w, std::uint32_t source)
 {
     const auto& h = w.health;
     if (h.state == standing::ejected && h.scope != all_sources &&
@@ -292,8 +294,8 @@
     return severity_of(w, mono_now());
 }
 
-void answer_usual(node_state& n, std::uint32_t ip, std::uint16_t port,
-                  const usual_question& q)
+void answer_baseline_query(node_state& n, std::uint32_t ip, std::uint16_t port,
+                           const usual_question& q)
 {
     auto reply = q;
     const auto since = mono_now() - std::max<span_us>(0, q.back);
@@ -312,7 +314,7 @@
     n.control.send_usual(ip, port, reply, true);
 }
 
-void take_usual(node_state& n, const usual_question& q)
+void handle_baseline_response(node_state& n, const usual_question& q)
 {
     const auto it = n.asks.find(q.ticket);
     if (it == n.asks.end() || it->second.awaited == 0)
@@ -324,7 +326,7 @@
         judge(n, q.ticket);
 }
 
-void refresh_policies(node_state& n)
+void refresh_ejection_policies(node_state& n)
 {
     for (auto& [id, w] : n.workers) {
         const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -32,13 +32,13 @@
     return n.workers.empty() ? nullptr : &n.workers.begin()->second;
 }
 
-void admit(node_state& n, announcement a, const worker_probe& p)
+void admit(node_state& n, announcement a, const probe_result& p)
 {
     a.busy = p.running;
     if (a.slots < 1)
         a.slots = std::max(1, p.slots);
     n.hosted.candidate.reset();
-    const auto id = take_announcement(n, a);
+    const auto id = handle_announcement(n, a);
     n.workers[id].answered_ms = wall_ms_now();
 }
 
@@ -68,7 +68,7 @@
 
 /// Whether the address has answered as a process that may have work.
 bool may_admit(const node_state& n, const announcement& a,
-               const worker_probe& p)
+               const probe_result& p)
 {
     const auto& known = n.hosted.known.names;
     const auto it = known.find(p.name);
@@ -80,12 +80,12 @@
 
 /// Whether a later incarnation waits behind the name that answered; its
 /// answer must not keep the earlier one in use.
-bool is_succeeded(const hosted_state& h, const worker_probe& p)
+bool is_succeeded(const hosted_state& h, const probe_result& p)
 {
     return h.candidate && h.candidate->name == p.name;
 }
 
-void settle(node_state& n, const worker_probe& p)
+void settle(node_state& n, const probe_result& p)
 {
     auto& h = n.hosted;
     h.missed = p.reached ? 0 : h.missed + 1;
@@ -109,7 +109,7 @@
     }
     if (w != nullptr && h.missed >= max_missed &&
         mono_now() - w->announced_at > silence_bound)
-        forget_worker(n, w->id, "silent");
+        deregister_worker(n, w->id, "silent");
 }
 
 void start_probe(node_state& n)
@@ -150,14 +150,15 @@
         w.draining = true;
         n.events.write(event_id::worker_draining, w.name,
                        a.leaving ? "left=1" : "left=0");
-        tell_queued(n, gate_drain_worker(n.door, id, true, mono_now()));
+        deliver_gate_decisions(n,
+                               gate_drain_worker(n.door, id, true, mono_now()));
         publish_self(n);
     }
 }
 
 } // namespace
 
-void take_hosted(node_state& n, const announcement& a)
+void handle_check_in(node_state& n, const announcement& a)
 {
     auto& h = n.hosted;
     const auto step = incarnation_hear(h.known, a, mono_now(), wall_ms_now());
@@ -179,14 +180,14 @@
     if (learn_start(n, a) ||
         (w != nullptr && w->name == a.name && w->boot == a.boot)) {
         n.hosted.candidate.reset();
-        take_announcement(n, a);
+        handle_announcement(n, a);
         return;
     }
     h.candidate = a;
     start_probe(n);
 }
 
-void tick_hosted(node_state& n, mono_us now)
+void tick_hosted_worker(node_state& n, mono_us now)
 {
     if (!n.config || now < n.hosted.probe_at || n.stopping)
         return;
@@ -195,10 +196,10 @@
         start_probe(n);
 }
 
-worker_probe probe_worker(node_state& n, const tcp::endpoint& at,
+probe_result probe_worker(node_state& n, const tcp::endpoint& at,
                           const std::string& path, const yield& y)
 {
-    worker_probe p;
+    probe_result p;
     http_link link(n.ctx);
     link.stream.expires_after(std::chrono::microseconds(probe_bound));
     beast::error_code ec;
@@ -216,14 +217,14 @@
     p.reached = true;
     p.healthy = r.result() == http::status::ok;
     p.name = field_of(r, n.dialect.worker);
-    if (const auto load = parse_load(field_of(r, n.dialect.load))) {
+    if (const auto load = parse_worker_load(field_of(r, n.dialect.load))) {
         p.running = (*load)[0];
         p.slots = (*load)[2];
     }
     return p;
 }
 
-std::optional<std::array<int, 3>> parse_load(const std::string& text)
+std::optional<std::array<int, 3>> parse_worker_load(const std::string& text)
 {
     const auto parts = split(text, ',');
     std::array<int, 3> load{};
--- a/src/node/hosted_worker.hpp
+++ b/src/node/hosted_worker.hpp
@@ -11,13 +11,13 @@
 
 /// Takes up what a backend server says about itself. A drain or a leave has
 /// shut the gate when this returns, so that it may be acknowledged.
-void take_hosted(node_state& n, const announcement& a);
+void handle_check_in(node_state& n, const announcement& a);
 
 /// Asks the address who is there: at the start, and when check-ins stop.
-void tick_hosted(node_state& n, mono_us now);
+void tick_hosted_worker(node_state& n, mono_us now);
 
 /// What a backend server's health path answered.
-struct worker_probe
+struct probe_result
 {
     bool reached = false; ///< an answer came, whatever it was
     bool healthy = false; ///< with status 200
@@ -27,10 +27,10 @@
 };
 
 /// Asks a backend server's health path, on a new connection.
-worker_probe probe_worker(node_state& n, const tcp::endpoint& at,
+probe_result probe_worker(node_state& n, const tcp::endpoint& at,
                           const std::string& path, const yield& y);
 
 /// "running,waiting,slots" of a backend server; nothing when malformed.
-std::optional<std::array<int, 3>> parse_load(const std::string& text);
+std::optional<std::array<int, 3>> parse_worker_load(const std::string& text);
 
 } // namespace jasminetray
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -187,19 +187,19 @@
                          bool answer) {
         asio::post(ctx, [&p, ip, port, q = std::move(q), answer] {
             if (answer)
-                take_usual(p.state, q);
+                handle_baseline_response(p.state, q);
             else
-                answer_usual(p.state, ip, port, q);
+                answer_baseline_query(p.state, ip, port, q);
         });
     };
     k.loads = [&p, &ctx](std::vector<load_report> loads) {
         asio::post(ctx, [&p, loads = std::move(loads)] {
-            take_loads(p.state, loads);
+            apply_load_reports(p.state, loads);
         });
     };
     k.crashes = [&p, &ctx](const node_address& from, quarantine_message m) {
         asio::post(ctx, [&p, from, m = std::move(m)] {
-            take_crashes(p.state, from, m);
+            handle_quarantine_message(p.state, from, m);
         });
     };
     k.datagram_counted = [&p](wire_error e, std::size_t bytes) {
@@ -263,7 +263,7 @@
     peer_handlers h;
     h.revoke = [&p](const attempt_id& a, boot_id boot) {
         return on_request_thread<revoke_reply>(
-            p, [&p, a, boot] { return answer_revoke(p.state, a, boot); });
+            p, [&p, a, boot] { return handle_revoke(p.state, a, boot); });
     };
     h.chunk = [&p](std::uint64_t hash) { return p.cache.get(hash); };
     h.query = [&p](const std::string& text) {
@@ -436,7 +436,7 @@
 {
     auto& n = p.state;
     if (!is_hosted(n.settings))
-        tick_announcements(n, now);
+        expire_workers(n, now);
     drop_idle_links(n, now);
     // The platform may change the file and send no signal.
     if (p.settings_file.changed())
@@ -480,13 +480,13 @@
             return;
         const auto now = mono_now();
         tick_gate(p.state, now);
-        tick_health(p.state, now);
+        evaluate_workers(p.state, now);
         tick_paths(p.state, now);
         tick_freshness(p.state);
         tick_quarantine(p.state);
         if (is_hosted(p.settings)) {
-            tick_hosted(p.state, now);
-            tick_loads(p.state, now);
+            tick_hosted_worker(p.state, now);
+            publish_load_reports(p.state, now);
         }
         if (now >= p.claims_at) {
             p.claims_at = now + claims_every;
@@ -507,7 +507,7 @@
 {
     const auto now = mono_now();
     p.events.write(event_id::process_stopping, p.settings.name, "");
-    tell_queued(p.state, gate_stop(p.state.door, now));
+    deliver_gate_decisions(p.state, gate_stop(p.state.door, now));
     p.state.stopping = true;
     p.close_at = now + p.settings.drain;
     p.stop_at = now + stop_bound_of(p.settings);
@@ -562,7 +562,7 @@
     p.state.control = make_hooks(p);
     publish_self(p.state);
     accept_on(p, p.entry, serve_caller);
-    accept_on(p, p.exit, serve_exit);
+    accept_on(p, p.exit, serve_exit_connection);
     accept_on(p, p.admin, serve_admin);
     if (is_hosted(s)) {
         p.state.dialect = make_platform_dialect();
@@ -571,7 +571,7 @@
         accept_on(p, p.hosted_ready, serve_platform);
     }
     receive_datagrams(p);
-    load_quarantine(p.state);
+    load_quarantine_rows(p.state);
     tick(p);
     p.signals.async_wait([&p](beast::error_code ec, int) {
         if (!ec)
--- a/src/node/peer_ask.cpp
+++ b/src/node/peer_ask.cpp
@@ -29,10 +29,10 @@
 
 } // namespace
 
-std::optional<std::string> ask_peer(node_state& n, node_id to,
-                                    const node_address& at, const char* path,
-                                    const std::function<std::string()>& text,
-                                    mono_us deadline, const yield& y)
+std::optional<std::string>
+send_peer_request(node_state& n, node_id to, const node_address& at,
+                  const char* path, const std::function<std::string()>& text,
+                  mono_us deadline, const yield& y)
 {
     auto link = take_idle(n.exits[to], mono_now() - keep_exit_idle);
     auto answer =
@@ -47,7 +47,8 @@
     return answer;
 }
 
-bool answer_peer(beast::tcp_stream& to, const std::string& text, const yield& y)
+bool send_peer_reply(beast::tcp_stream& to, const std::string& text,
+                     const yield& y)
 {
     string_response r(http::status::no_content, 11);
     if (!text.empty())
--- a/src/node/peer_ask.hpp
+++ b/src/node/peer_ask.hpp
@@ -11,15 +11,15 @@
 ///        run on
 /// @return the answer's hop field, empty when it has none; nothing without an
 ///         answer in time
-std::optional<std::string> ask_peer(node_state& n, node_id to,
-                                    const node_address& at, const char* path,
-                                    const std::function<std::string()>& text,
-                                    mono_us deadline, const yield& y);
+std::optional<std::string>
+send_peer_request(node_state& n, node_id to, const node_address& at,
+                  const char* path, const std::function<std::string()>& text,
+                  mono_us deadline, const yield& y);
 
 /// Answers such a question.
 /// @param text for the hop field; empty for none
 /// @return false when the connection is of no more use
-bool answer_peer(beast::tcp_stream& to, const std::string& text,
-                 const yield& y);
+bool send_peer_reply(beast::tcp_stream& to, const std::string& text,
+                     const yield& y);
 
 } // namespace jasminetray
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -108,8 +108,8 @@
     return is_quarantined(n.quarantine, hash_once(n, m, known));
 }
 
-void note_crash(node_state& n, const local_worker& w,
-                const std::vector<fingerprint>& running)
+void record_worker_crash(node_state& n, const local_worker& w,
+                         const std::vector<fingerprint>& running)
 {
     const auto now = uptime_now();
     const auto begun =
@@ -119,12 +119,12 @@
          quarantine_announce(n.quarantine, running, now));
     for (const auto f : running) {
         if (is_quarantined(n.quarantine, f))
-            save_quarantine(n, f);
+            save_quarantine_row(n, f);
     }
 }
 
-void note_survived(node_state& n, const string_request& m,
-                   std::optional<fingerprint>& known)
+void clear_answered_request(node_state& n, const string_request& m,
+                            std::optional<fingerprint>& known)
 {
     if (!n.quarantine.marks_by_request.empty())
         end_quarantine(n, hash_once(n, m, known), "answer");
@@ -138,13 +138,13 @@
     if (held) {
         n.events.write(event_id::quarantine_ended, to_text(request),
                        "cause=" + std::string(cause));
-        drop_quarantine(n, request);
+        delete_quarantine_row(n, request);
     }
     return true;
 }
 
-void take_crashes(node_state& n, const node_address& from,
-                  const quarantine_message& m)
+void handle_quarantine_message(node_state& n, const node_address& from,
+                               const quarantine_message& m)
 {
     const auto now = uptime_now();
     const auto begun = quarantine_apply_reports(n.quarantine, m.reports, now);
@@ -152,7 +152,7 @@
     // Ends at the same moment are each noted before any node knows of all.
     for (const auto f : begun) {
         if (is_noted_here(n, f))
-            save_quarantine(n, f);
+            save_quarantine_row(n, f);
     }
     tell(n, {from}, quarantine_reply(n.quarantine, m, n.rng, now));
 }
--- a/src/node/quarantine_driver.hpp
+++ b/src/node/quarantine_driver.hpp
@@ -20,13 +20,13 @@
 
 /// Takes up that a backend server's process ended while it ran requests.
 /// Nodes that guard other backend servers of its service are told at once.
-void note_crash(node_state& n, const local_worker& w,
-                const std::vector<fingerprint>& running);
+void record_worker_crash(node_state& n, const local_worker& w,
+                         const std::vector<fingerprint>& running);
 
 /// Takes up that a backend server answered a request and lives.
 /// @param known as above
-void note_survived(node_state& n, const string_request& m,
-                   std::optional<fingerprint>& known);
+void clear_answered_request(node_state& n, const string_request& m,
+                            std::optional<fingerprint>& known);
 
 /// Clears a request, here and at all nodes that hear of it.
 /// @param cause for the log
@@ -35,8 +35,8 @@
 
 /// Takes up what another node tells, and answers.
 /// @param from its gossip address
-void take_crashes(node_state& n, const node_address& from,
-                  const quarantine_message& m);
+void handle_quarantine_message(node_state& n, const node_address& from,
+                               const quarantine_message& m);
 
 /// Tells other nodes what is due.
 void tick_quarantine(node_state& n);
--- a/src/node/quarantine_store.cpp
+++ b/src/node/quarantine_store.cpp
@@ -51,7 +51,7 @@
         }
         m.reports.insert(m.reports.end(), reports->begin(), reports->end());
     }
-    take_crashes(n, {}, m);
+    handle_quarantine_message(n, {}, m);
 }
 
 void read_rows(node_state& n, span_us pause)
@@ -92,13 +92,13 @@
 
 } // namespace
 
-void load_quarantine(node_state& n)
+void load_quarantine_rows(node_state& n)
 {
     if (n.slow_calls != nullptr)
         read_rows(n, first_pause);
 }
 
-void save_quarantine(node_state& n, fingerprint request)
+void save_quarantine_row(node_state& n, fingerprint request)
 {
     if (n.slow_calls == nullptr)
         return;
@@ -109,7 +109,7 @@
     write_row(n, w, first_pause, 1);
 }
 
-void drop_quarantine(node_state& n, fingerprint request)
+void delete_quarantine_row(node_state& n, fingerprint request)
 {
     if (n.slow_calls == nullptr)
         return;
--- a/src/node/quarantine_store.hpp
+++ b/src/node/quarantine_store.hpp
@@ -9,12 +9,12 @@
 namespace jasminetray {
 
 /// Reads the rows that former processes left; repeated until it succeeds.
-void load_quarantine(node_state& n);
+void load_quarantine_rows(node_state& n);
 
 /// Writes what stands against a request.
-void save_quarantine(node_state& n, fingerprint request);
+void save_quarantine_row(node_state& n, fingerprint request);
 
 /// Removes the row of a request.
-void drop_quarantine(node_state& n, fingerprint request);
+void delete_quarantine_row(node_state& n, fingerprint request);
 
 } // namespace jasminetray
--- a/src/node/worker_work.cpp
+++ b/src/node/worker_work.cpp
@@ -167,7 +167,7 @@
 /// through this node while it ran the work. That call's failure is another
 /// backend server's, and must not make this one a suspect. Sick ones fail at
 /// once, before they call anybody.
-bool is_calls_fault(const node_state& n, const worker_answer& a)
+bool is_calls_fault(const node_state& n, const worker_exchange& a)
 {
     constexpr span_us at_once = 20 * us_per_ms;
     return mono_now() - a.began > at_once && n.call_failed_at >= a.began;
@@ -178,7 +178,7 @@
 constexpr unsigned gateway_timeout = 504;
 
 void judge_answer(node_state& n, const answer_facts& f, const gate_request& r,
-                  worker_answer& a)
+                  worker_exchange& a)
 {
     const auto& head = a.parser->get();
     const auto status = head.result_int();
@@ -214,7 +214,8 @@
 /// stand in front of it on a kept connection; the echo tells, and it is read
 /// past, because the right one is still to come.
 beast::error_code read_answer(node_state& n, const answer_facts& f,
-                              worker_answer& a, bool head_only, const yield& y)
+                              worker_exchange& a, bool head_only,
+                              const yield& y)
 {
     constexpr int max_strays = 4;
     beast::error_code ec;
@@ -238,8 +239,8 @@
 
 /// Writes the request and reads the answer's held part.
 void exchange(node_state& n, local_worker& w, const string_request& message,
-              const gate_request& r, worker_answer& a, beast::tcp_stream& entry,
-              const yield& y)
+              const gate_request& r, worker_exchange& a,
+              beast::tcp_stream& entry, const yield& y)
 {
     auto q = make_message(n, w, message, r, mono_now());
     const auto facts = make_facts(n, w, q);
@@ -273,7 +274,7 @@
                           : "worker-write";
     a.closed = !left_early && ec != beast::error::timeout;
     if (a.end == work_result::lost && (left_early || a.closed))
-        note_lost_work(n, id, message, a.closed);
+        record_lost_work(n, id, message, a.closed);
     if (it != n.workers.end() && !left_early)
         a.seen = written ? judge_silence(it->second, a.route_class, r.target,
                                          ec, mono_now() - a.began)
@@ -282,11 +283,11 @@
 
 } // namespace
 
-worker_answer run_on_worker(node_state& n, const string_request& message,
-                            const gate_request& r, std::uint32_t source,
-                            beast::tcp_stream& entry, const yield& y)
+worker_exchange execute_on_worker(node_state& n, const string_request& message,
+                                  const gate_request& r, std::uint32_t source,
+                                  beast::tcp_stream& entry, const yield& y)
 {
-    worker_answer a;
+    worker_exchange a;
     a.source = source;
     a.began = mono_now();
     auto it = n.workers.find(r.worker);
@@ -307,12 +308,12 @@
         a.reason = "worker-connect";
     }
     if (a.end != work_result::answered)
-        end_on_worker(n, r, a, false);
+        finish_on_worker(n, r, a, false);
     return a;
 }
 
-void end_on_worker(node_state& n, const gate_request& r, worker_answer& a,
-                   bool whole)
+void finish_on_worker(node_state& n, const gate_request& r, worker_exchange& a,
+                      bool whole)
 {
     const auto now = mono_now();
     const auto it = n.workers.find(r.worker);
@@ -321,8 +322,9 @@
     if (!whole && a.end == work_result::lost && a.parser &&
         a.seen == outcome_kind::good)
         a.seen = outcome_kind::failed; // cut in the middle
-    note_outcome(n, it->second, a.key,
-                 {a.seen, now - a.began, a.source, a.route_class}, now);
+    record_worker_outcome(n, it->second, a.key,
+                          {a.seen, now - a.began, a.source, a.route_class},
+                          now);
     const bool keep =
         whole && a.parser->keep_alive() && is_clean(*a.link, true);
     if (a.link && (keep || !n.safeguards.close_unclean))
