--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -14,11 +14,11 @@
 
 namespace json = boost::json;
 
-constexpr span_us lapse = 5 * us_per_s; // without an announcement
+constexpr span_us announcement_timeout = 5 * us_per_s;
 
-/// Id of the process that speaks. One whose start was learned late keeps the
-/// id that it was found under: work, evidence and claims bear it already.
-worker_id id_of(const node_state& n, const announcement& a)
+/// Returns the id of an announced process. One whose start time was learnt
+/// later keeps its id, as its work and its health statistics refer to it.
+worker_id worker_id_for(const node_state& n, const announcement& a)
 {
     for (const auto& [id, w] : n.workers) {
         if (w.name == a.name && w.boot == a.boot)
@@ -39,9 +39,9 @@
     n.workers.erase(it);
 }
 
-/// What a former process of the same backend server taught about the usual
-/// outlives its restart: a bad release must not define its own usual.
-service_usual inherit_usual(node_state& n, const announcement& a)
+/// Returns the baseline of the previous incarnation. A restart keeps it, so
+/// that a faulty release can't define its own baseline.
+service_usual inherit_baseline(node_state& n, const announcement& a)
 {
     for (const auto& [id, w] : n.workers) {
         if (w.name == a.name && w.service == a.service)
@@ -50,10 +50,9 @@
     return {};
 }
 
-/// Ends what a dead process of a backend server had begun. Its connections
-/// may stay silent instead of closing, and each caller would wait for its
-/// deadline. Bytes that are here already are read: they may be a whole answer.
-void end_busy(const local_worker& w)
+/// Cancels the requests of a dead process, whose connections may stay open.
+/// Those with received bytes are left, as these may be a complete answer.
+void cancel_running(const local_worker& w)
 {
     for (auto* link : w.busy) {
         beast::error_code ec;
@@ -62,9 +61,10 @@
     }
 }
 
-void remove_former(node_state& n, const announcement& a, worker_id id)
+void remove_previous_incarnation(node_state& n, const announcement& a,
+                                 worker_id id)
 {
-    // A hosted VM has one address with one process behind it at a time.
+    // A hosted VM runs one process at a time.
     const bool single = !n.settings.hosted.control.empty();
     for (auto& [other, w] : n.workers) {
         if (other == id || !(single || w.name == a.name))
@@ -74,7 +74,7 @@
                            "former=" + std::to_string(w.boot) +
                                " start=" + std::to_string(a.boot) +
                                " ended=" + std::to_string(w.busy.size()));
-            end_busy(w);
+            cancel_running(w);
         }
         handle_worker_replaced(n, w);
         return remove_worker(n, other, "replaced");
@@ -83,14 +83,14 @@
 
 local_worker& add_worker(node_state& n, const announcement& a, worker_id id)
 {
-    const auto usual = inherit_usual(n, a);
-    remove_former(n, a, id);
+    const auto baseline = inherit_baseline(n, a);
+    remove_previous_incarnation(n, a, id);
     auto& w = n.workers[id];
     w.id = id;
     w.name = a.name;
     w.service = a.service;
     w.boot = a.boot;
-    w.health.usual = usual;
+    w.health.usual = baseline;
     w.health.cold_until =
         mono_now() + (a.sequence != 0 ? a.cold_for : n.balance.ramp);
     refresh_ejection_policies(n);
@@ -114,30 +114,31 @@
         return std::nullopt;
     }
     announcement a;
-    const auto whole = [&](const char* key, std::int64_t least,
-                           std::int64_t most, std::int64_t otherwise) {
+    const auto integer_field = [&](const char* key, std::int64_t min_value,
+                                   std::int64_t max_value,
+                                   std::int64_t default_value) {
         const auto* x = o->if_contains(key);
-        const auto k = x && x->is_int64() ? x->as_int64() : otherwise;
-        if (k < least || k > most)
+        const auto k = x && x->is_int64() ? x->as_int64() : default_value;
+        if (k < min_value || k > max_value)
             why = std::string(key) + " is out of bounds";
         return k;
     };
-    const auto words = [&](const char* key) {
+    const auto string_field = [&](const char* key) {
         const auto* x = o->if_contains(key);
         return x && x->is_string() ? std::string(x->as_string()) : "";
     };
-    a.name = words("name");
-    a.service = words("service");
-    a.port = static_cast<std::uint16_t>(whole("port", 1, 65535, 0));
-    a.slots = static_cast<int>(whole("slots", 1, max_slots, 1));
-    a.busy = static_cast<int>(whole("busy", 0, max_slots, 0));
-    a.draining = whole("draining", 0, 1, 0) == 1;
-    a.leaving = whole("leaving", 0, 1, 0) == 1;
-    a.boot = static_cast<std::uint64_t>(whole("boot", 0, INT64_MAX, 0));
-    if (!words("ip").empty())
-        a.ip = words("ip");
+    a.name = string_field("name");
+    a.service = string_field("service");
+    a.port = static_cast<std::uint16_t>(integer_field("port", 1, 65535, 0));
+    a.slots = static_cast<int>(integer_field("slots", 1, max_slots, 1));
+    a.busy = static_cast<int>(integer_field("busy", 0, max_slots, 0));
+    a.draining = integer_field("draining", 0, 1, 0) == 1;
+    a.leaving = integer_field("leaving", 0, 1, 0) == 1;
+    a.boot = static_cast<std::uint64_t>(integer_field("boot", 0, INT64_MAX, 0));
+    if (!string_field("ip").empty())
+        a.ip = string_field("ip");
     if (a.name.empty() || a.service.empty() || !is_ipv4(a.ip))
-        why = "name, service and an IPv4 ip are needed";
+        why = "name, service and an IPv4 ip are required";
     if (!why.empty())
         return std::nullopt;
     return a;
@@ -145,16 +146,16 @@
 
 worker_id handle_announcement(node_state& n, const announcement& a)
 {
-    const auto id = id_of(n, a);
+    const auto id = worker_id_for(n, a);
     if (a.leaving) {
         remove_worker(n, id, "left");
         publish_self(n);
         return id;
     }
-    const bool fresh = n.workers.count(id) == 0;
-    auto& w = fresh ? add_worker(n, a, id) : n.workers[id];
+    const bool is_new = n.workers.count(id) == 0;
+    auto& w = is_new ? add_worker(n, a, id) : n.workers[id];
     const bool changed =
-        fresh || w.slots != a.slots || w.draining != a.draining;
+        is_new || w.slots != a.slots || w.draining != a.draining;
     if (a.draining && !w.draining)
         n.events.write(event_id::worker_draining, w.name, "");
     w.at = tcp::endpoint(asio::ip::make_address_v4(a.ip), a.port);
@@ -174,7 +175,7 @@
 {
     std::vector<worker_id> gone;
     for (const auto& [id, w] : n.workers) {
-        if (now - w.announced_at > lapse)
+        if (now - w.announced_at > announcement_timeout)
             gone.push_back(id);
     }
     for (const auto id : gone)
--- a/src/node/announce.hpp
+++ b/src/node/announce.hpp
@@ -1,29 +1,30 @@
-// Backend servers of this VM announce themselves here; there is no list of
-// them anywhere else.
+// Registers the backend servers of this VM by their periodic announcements.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Parses an announcement, or says what is wrong.
+/// Parses an announcement in JSON; sets `why` when it is invalid.
 std::optional<announcement> parse_announcement(const std::string& json,
                                                std::string& why);
 
-/// Takes an announcement up.
+/// Adds, updates or removes a backend server as it announces.
+/// @return its id
 worker_id handle_announcement(node_state& n, const announcement& a);
 
-/// Forgets a backend server; what waits for it is refused as not run.
+/// Removes a backend server; its queued work is refused as not run.
+/// @param why reason for the log
 void deregister_worker(node_state& n, worker_id id, const std::string& why);
 
-/// Tells queued work what was decided.
+/// Wakes queued work with the gate's decisions.
 void deliver_gate_decisions(node_state& n,
                             const std::vector<gate_decision>& decisions);
 
-/// Forgets backend servers that have fallen silent.
+/// Removes backend servers whose announcements have stopped.
 void expire_workers(node_state& n, mono_us now);
 
-/// Stops or resumes new work for a backend server, by an operator.
+/// Stops or resumes new work for a backend server at an operator's command.
 void set_operator_drain(node_state& n, worker_id id, bool draining);
 
 } // namespace jasminetray
--- a/src/node/crash_watch.cpp
+++ b/src/node/crash_watch.cpp
@@ -1,4 +1,4 @@
-// Ends of backend servers; see crash_watch.hpp.
+// Crash detection; see crash_watch.hpp.
 #include "node/crash_watch.hpp"
 
 #include "base/text_func.hpp"
@@ -11,33 +11,31 @@
 
 namespace {
 
-/// Before the address is asked: a process that ends closes its connections and
-/// stops listening within this.
+/// Time for a process that ends to close all sockets, before the check.
 constexpr span_us check_delay = 10 * us_per_ms;
-constexpr span_us check_bound = 250 * us_per_ms; // for a connection
-/// Lost work is kept so long for the process's end to be noticed; cancelled
-/// work may still run, and end the process, for as long.
-constexpr span_us lost_memory = us_per_s;
-constexpr std::size_t max_lost = 64; // pieces of lost work kept per process
+constexpr span_us probe_connect_timeout = 250 * us_per_ms;
+/// How long lost or cancelled work is suspect when the process crashes.
+constexpr span_us lost_work_retention = us_per_s;
+constexpr std::size_t max_lost_work = 64; // per process
 
-void forget_old(local_worker& w, mono_us now)
+void drop_expired_lost_work(local_worker& w, mono_us now)
 {
     auto& lost = w.lost;
-    const auto is_old = [now](const lost_work& x) {
-        return now - x.at > lost_memory;
+    const auto is_expired = [now](const lost_work& x) {
+        return now - x.at > lost_work_retention;
     };
-    lost.erase(std::remove_if(lost.begin(), lost.end(), is_old), lost.end());
+    lost.erase(std::remove_if(lost.begin(), lost.end(), is_expired),
+               lost.end());
 }
 
-/// Reports the lost work of a process that has ended.
 void report_crash(node_state& n, local_worker& w, const char* evidence)
 {
     const auto now = mono_now();
-    forget_old(w, now);
+    drop_expired_lost_work(w, now);
     if (w.lost.empty())
         return;
-    // Its connections may be seen to end one after the other.
-    if (w.crashes == 0 || now - w.crashed_at > lost_memory) {
+    // One crash closes several connections and may be reported for each.
+    if (w.crashes == 0 || now - w.crashed_at > lost_work_retention) {
         ++w.crashes;
         w.crashed_at = now;
     }
@@ -56,11 +54,10 @@
     record_worker_crash(n, w, running);
 }
 
-/// Whether an address refuses connections.
-bool is_refused(node_state& n, const tcp::endpoint& at, const yield& y)
+bool refuses_connections(node_state& n, const tcp::endpoint& at, const yield& y)
 {
     http_link link(n.ctx);
-    link.stream.expires_after(std::chrono::microseconds(check_bound));
+    link.stream.expires_after(std::chrono::microseconds(probe_connect_timeout));
     beast::error_code ec;
     link.stream.async_connect(at, y[ec]);
     return ec == asio::error::connection_refused;
@@ -75,8 +72,8 @@
     auto it = n.workers.find(id);
     if (it == n.workers.end())
         return;
-    const bool ended = is_refused(n, it->second.at, y);
-    it = n.workers.find(id); // it may have been replaced while we connected
+    const bool ended = refuses_connections(n, it->second.at, y);
+    it = n.workers.find(id); // may have been replaced meanwhile
     if (it == n.workers.end())
         return;
     it->second.checking = false;
@@ -94,9 +91,9 @@
         return;
     auto& w = it->second;
     const auto now = mono_now();
-    forget_old(w, now);
-    // The newest count: what was cancelled before must not hide them.
-    if (w.lost.size() >= max_lost)
+    drop_expired_lost_work(w, now);
+    // The newest are kept, so that cancelled work can't displace them.
+    if (w.lost.size() >= max_lost_work)
         w.lost.erase(w.lost.begin());
     w.lost.push_back({fingerprint_of(n, m), now});
     if (!closed || w.checking)
--- a/src/node/crash_watch.hpp
+++ b/src/node/crash_watch.hpp
@@ -1,22 +1,19 @@
-// Notices that a backend server's process ended while it ran work, and what it
-// ran. A closed connection alone is no proof: a sick backend server resets
-// connections too, and lives. A refused connection to its address is.
+// Detects crashes of backend servers and the requests that they ran. A closed
+// connection alone is no proof, as an unhealthy process resets connections too;
+// a refused connection to its address is.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Work was sent to a backend server and its answer is lost. Asks the address
-/// whether the process lives, unless that is being asked already.
-/// @param id backend server that ran it
-/// @param closed the backend server ended the connection; else the work was
-///        cancelled by its caller, and is suspect only if the process ends
-///        within a moment
+/// Records a request whose answer is lost. When the backend server closed the
+/// connection, checks whether its process has ended, one check at a time.
+/// @param closed false when the caller cancelled the request
 void record_lost_work(node_state& n, worker_id id, const string_request& m,
                       bool closed);
 
-/// Another process has taken the place of `w`, which was not draining.
+/// Reports a crash of `w` when another process replaces it, unless it drained.
 void handle_worker_replaced(node_state& n, local_worker& w);
 
 } // namespace jasminetray
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -1,4 +1,4 @@
-// The exit side; see exit_server.hpp.
+// Implementation of the exit side; see exit_server.hpp.
 #include "node/exit_server.hpp"
 
 #include "base/text_func.hpp"
@@ -20,35 +20,34 @@
 
 namespace {
 
-constexpr span_us idle_bound = 60 * us_per_s; // of an entry node's connection
-/// A sick backend server may answer 500 without running anything.
-constexpr unsigned first_failure = 500;
-constexpr std::size_t max_target = 200;           // bytes of it, in a log line
-constexpr span_us noticed_wait = 250 * us_per_ms; // of work for a slot
+constexpr span_us connection_idle_timeout = 60 * us_per_s;
+/// An unhealthy backend server may answer 500 without running the request, so
+/// such an answer doesn't clear a request of suspicion.
+constexpr unsigned first_server_error = 500;
+constexpr std::size_t max_logged_target = 200; // bytes in a log line
+constexpr span_us min_logged_wait = 250 * us_per_ms;
 
-/// One piece of work at the exit side.
-struct exit_work
+struct exit_request
 {
     string_request message;
-    std::optional<fingerprint> content; ///< of message, once it was needed
+    std::optional<fingerprint> fingerprint_cache; ///< computed on first use
     gate_request request;
-    std::uint32_t source = 0; ///< index of the entry node's data centre
+    std::uint32_t source = 0; ///< see node_state::source_index
 };
 
-std::uint32_t source_of(node_state& n, std::uint32_t id)
+std::uint32_t source_index_of(node_state& n, std::uint32_t id)
 {
     const auto next = static_cast<std::uint32_t>(n.source_index.size());
     return n.source_index.emplace(id, next).first->second;
 }
 
-/// Reads the hop's fields; nothing when they are not an entry node's.
-std::optional<exit_work> parse_work(node_state& n, string_request message,
-                                    mono_us now)
+std::optional<exit_request>
+parse_exit_request(node_state& n, string_request message, mono_us now)
 {
     const auto h = parse_hop_request(field_of(message, hop_name));
     if (!h)
         return std::nullopt;
-    exit_work w;
+    exit_request w;
     w.request.attempt = h->attempt;
     w.request.boot = h->boot;
     w.request.worker = h->worker;
@@ -63,28 +62,26 @@
     w.request.target = h->target;
     if (h->target > 0)
         w.request.due = now + h->target - h->elapsed;
-    w.source = source_of(n, h->centre);
+    w.source = source_index_of(n, h->centre);
     w.request.route_class = h->route_class;
     w.message = std::move(message);
     return w;
 }
 
-/// Id of a request in log lines: the caller's own where it has one.
-std::string label_of(const node_state& n, const exit_work& w)
+std::string logged_id(const node_state& n, const exit_request& w)
 {
     return n.dialect.callers_id
                ? field_of(w.message, beast_text(n.dialect.request))
                : to_text(w.request.attempt);
 }
 
-std::string name_at(const node_state& n, worker_id id)
+std::string worker_name(const node_state& n, worker_id id)
 {
     const auto it = n.workers.find(id);
     return it == n.workers.end() ? "gone" : it->second.name;
 }
 
-/// What rides on every answer of the exit side.
-hop_answer make_hop_answer(const node_state& n, const exit_work& w,
+hop_answer make_hop_answer(const node_state& n, const exit_request& w,
                            hop_outcome outcome, const std::string& reason)
 {
     const auto now = mono_now();
@@ -100,7 +97,7 @@
     const auto it = n.workers.find(id);
     if (it != n.workers.end())
         a.severity = severity_for_source(it->second, w.source);
-    // Only work that must not run twice needs to know whose process this is.
+    // Only non-idempotent requests name the exit process and its stamp.
     if (!w.request.idempotent) {
         a.boot = n.door.boot;
         a.stamp = now;
@@ -108,8 +105,9 @@
     return a;
 }
 
-/// @param reached a backend server turned it away
-bool send_refusal(node_state& n, const exit_work& w, beast::tcp_stream& to,
+/// @param reached whether the backend server itself refused the work
+/// @return false when the response could not be written
+bool send_refusal(node_state& n, const exit_request& w, beast::tcp_stream& to,
                   hop_outcome outcome, const std::string& reason, bool reached,
                   const yield& y)
 {
@@ -126,10 +124,9 @@
     return !ec;
 }
 
-/// Waits for a slot. The entry node's connection is watched meanwhile: work
-/// whose caller has left is taken out of the queue.
-gate_error wait_for_slot(node_state& n, exit_work& w, beast::tcp_stream& stream,
-                         const yield& y)
+/// Waits for a slot, or until the entry node's connection closes.
+gate_error wait_for_slot(node_state& n, exit_request& w,
+                         beast::tcp_stream& stream, const yield& y)
 {
     auto ticket = std::make_shared<gate_ticket>(n.ctx, w.request.deadline);
     n.tickets[w.request.attempt] = ticket;
@@ -151,7 +148,7 @@
     n.tickets.erase(w.request.attempt);
     w.request.deadline = ticket->deadline;
     w.request.entry_stopping = w.request.entry_stopping || ticket->shortened;
-    // A late handler sees the decision and leaves the stream alone.
+    // The socket's handler may still run; a decision makes it return at once.
     if (!ticket->decision)
         ticket->decision = gate_decision{};
     beast::error_code ec;
@@ -163,16 +160,14 @@
     return gate_error::revoked;
 }
 
-/// Says how long work waited and what it had left when that was over. Between
-/// its arrival and its end nothing else tells whether it waited or ran.
-void note_wait(node_state& n, const exit_work& w, mono_us since,
-               gate_error refused)
+void log_queue_wait(node_state& n, const exit_request& w, mono_us since,
+                    gate_error refused)
 {
     const auto now = mono_now();
     const auto waited = now - since;
     n.metrics.gate_wait->Observe(static_cast<double>(waited) / us_per_s);
     const auto text =
-        "worker=" + name_at(n, w.request.worker) +
+        "worker=" + worker_name(n, w.request.worker) +
         " waited_ms=" + std::to_string(waited / us_per_ms) +
         " left_ms=" + std::to_string((w.request.deadline - now) / us_per_ms) +
         " outcome=" +
@@ -180,17 +175,16 @@
              ? "started"
              : std::string(name_of(gate_error_names, refused))) +
         (w.request.entry_stopping ? " leaving=1" : "");
-    // A busy gate makes most work wait for a moment; the log is for waits that
-    // a caller would notice.
-    if (waited < noticed_wait && refused == gate_error::none)
-        n.events.note(event_id::work_waited, label_of(n, w), text);
+    // Short waits are frequent under load; they get no log line.
+    if (waited < min_logged_wait && refused == gate_error::none)
+        n.events.note(event_id::work_waited, logged_id(n, w), text);
     else
-        n.events.write(event_id::work_waited, label_of(n, w), text);
+        n.events.write(event_id::work_waited, logged_id(n, w), text);
 }
 
-/// Refuses quarantined work that is not begun, for good: a late copy must not
-/// run once the quarantine is over.
-gate_error refuse_quarantined(node_state& n, const exit_work& w)
+/// Refuses quarantined work. Non-idempotent work is revoked too, so that a
+/// delayed copy can't run after the quarantine has ended.
+gate_error refuse_quarantined(node_state& n, const exit_request& w)
 {
     if (!w.request.idempotent)
         gate_revoke(n.door, w.request.attempt, w.request.boot, mono_now(),
@@ -198,23 +192,22 @@
     return gate_error::quarantined;
 }
 
-/// Gives back the slot of work that is in quarantine since it was let in.
-gate_error withdraw_quarantined(node_state& n, const exit_work& w)
+/// Releases the slot of work that was quarantined while it was queued.
+gate_error withdraw_quarantined(node_state& n, const exit_request& w)
 {
     gate_finish(n.door, w.request, work_result::unsent, 0, mono_now());
     advance_gate(n, w.request.worker);
     return gate_error::quarantined;
 }
 
-/// Lets work in; waits when it is queued.
-gate_error let_in(node_state& n, exit_work& w, beast::tcp_stream& stream,
-                  const yield& y)
+gate_error admit_work(node_state& n, exit_request& w, beast::tcp_stream& stream,
+                      const yield& y)
 {
     gate_error last{};
     const auto since = mono_now();
-    // A request that ended several processes ends the next one too, with all
-    // the work beside it, whatever its id is this time.
-    if (is_quarantined(n, w.message, w.content))
+    // Matched by content: a resubmitted request has another id and would crash
+    // the next process too.
+    if (is_quarantined(n, w.message, w.fingerprint_cache))
         return refuse_quarantined(n, w);
     const auto a = gate_admit(command_mode::apply, n.door, w.request, since,
                               last, n.safeguards.gate);
@@ -223,45 +216,46 @@
     if (*a != admission::queued)
         return gate_error::none;
     last = wait_for_slot(n, w, stream, y);
-    note_wait(n, w, since, last);
-    if (last == gate_error::none && is_quarantined(n, w.message, w.content))
+    log_queue_wait(n, w, since, last);
+    if (last == gate_error::none &&
+        is_quarantined(n, w.message, w.fingerprint_cache))
         return withdraw_quarantined(n, w);
     return last;
 }
 
-/// The entry node of some work stops. What waits here is refused as soon as it
-/// can't end in time: begun late, it was cut while it ran, and its caller heard
-/// "unknown" seconds later of work that could have gone elsewhere.
-bool take_shorten(node_state& n, const string_request& m, beast::tcp_stream& to,
-                  const yield& y)
+/// Handles a notice from an entry node that shuts down. Queued work that can't
+/// end by the shorter deadline is refused while it can still run elsewhere;
+/// once started, it would be cut off with an unknown result.
+bool handle_shorten_notice(node_state& n, const string_request& m,
+                           beast::tcp_stream& to, const yield& y)
 {
     const auto notice = parse_shorten_notice(field_of(m, hop_name));
     if (!notice)
         return false;
     const auto deadline = mono_now() + notice->remaining;
-    std::set<worker_id> touched;
+    std::set<worker_id> affected;
     for (const auto& a : notice->attempts) {
-        const auto waits_for = gate_shorten_deadline(n.door, a, deadline);
+        const auto queued_at = gate_shorten_deadline(n.door, a, deadline);
         const auto it = n.tickets.find(a);
-        if (!waits_for || it == n.tickets.end())
+        if (!queued_at || it == n.tickets.end())
             continue;
         it->second->deadline = std::min(it->second->deadline, deadline);
         it->second->shortened = true;
-        touched.insert(*waits_for);
+        affected.insert(*queued_at);
     }
-    for (const auto id : touched)
+    for (const auto id : affected)
         advance_gate(n, id);
     return send_peer_reply(to, "", y);
 }
 
-bool send_answer(node_state& n, const exit_work& w, worker_exchange& a,
+bool send_answer(node_state& n, const exit_request& w, worker_exchange& a,
                  beast::tcp_stream& to, const yield& y)
 {
     auto& answer = a.parser->get();
     const bool whole = a.parser->is_done();
     strip_hop_fields(answer);
     auto h = make_hop_answer(n, w, hop_outcome::answer, "");
-    h.failed = a.seen == outcome_kind::failed;
+    h.failed = a.outcome == outcome_kind::failed;
     answer.set(hop_name, to_text(h));
     if (!whole) {
         const auto bound = w.request.deadline - mono_now() + us_per_s;
@@ -278,66 +272,65 @@
     return !ec;
 }
 
-/// What lost work was, for the log: with its id alone the same request that
-/// came again could not be told from another one.
-std::string lost_text(const node_state& n, const exit_work& w,
-                      const worker_exchange& a)
+std::string describe_lost_work(const node_state& n, const exit_request& w,
+                               const worker_exchange& a)
 {
-    if (a.end != work_result::lost)
+    if (a.result != work_result::lost)
         return "";
     const std::string method(w.message.method_string());
     const std::string target(w.message.target());
     return " attempt=" + std::to_string(w.request.attempt.count) +
-           " closed=" + std::to_string(a.closed ? 1 : 0) +
+           " closed=" + std::to_string(a.closed_by_worker ? 1 : 0) +
            " fingerprint=" + to_text(fingerprint_of(n, w.message)) +
-           " method=" + method + " target=" + target.substr(0, max_target);
+           " method=" + method +
+           " target=" + target.substr(0, max_logged_target);
 }
 
-/// Runs started work to its end and answers the entry node.
-bool run_started(node_state& n, exit_work& w, beast::tcp_stream& stream,
-                 const yield& y)
+bool execute_admitted(node_state& n, exit_request& w, beast::tcp_stream& stream,
+                      const yield& y)
 {
-    const auto began = mono_now();
+    const auto started_at = mono_now();
     auto a = execute_on_worker(n, w.message, w.request, w.source, stream, y);
-    // Doubt moves before the answer goes out, so that the answer carries it.
-    record_gate_outcome(n, w.request.worker, a.seen, mono_now() - began);
+    // Done before the response is sent, as the response carries the estimate.
+    record_gate_outcome(n, w.request.worker, a.outcome,
+                        mono_now() - started_at);
     bool alive = true;
-    if (a.end == work_result::answered) {
+    if (a.result == work_result::answered) {
         alive = send_answer(n, w, a, stream, y);
         const bool whole = a.parser->is_done();
         if (!whole) {
-            a.end = work_result::lost;
-            a.closed = a.link && peer_closed(a.link->stream.socket());
+            a.result = work_result::lost;
+            a.closed_by_worker = a.link && peer_closed(a.link->stream.socket());
         }
-        if (a.closed)
+        if (a.closed_by_worker)
             record_lost_work(n, w.request.worker, w.message, true);
-        if (whole && a.parser->get().result_int() < first_failure)
-            clear_answered_request(n, w.message, w.content);
+        if (whole && a.parser->get().result_int() < first_server_error)
+            clear_answered_request(n, w.message, w.fingerprint_cache);
         finish_on_worker(n, w.request, a, whole);
     }
     const auto now = mono_now();
-    gate_finish(n.door, w.request, a.end, now - began, now);
+    gate_finish(n.door, w.request, a.result, now - started_at, now);
     n.events.write(
-        event_id::work_ended, label_of(n, w),
-        "worker=" + name_at(n, w.request.worker) +
-            " end=" + std::string(name_of(work_result_names, a.end)) +
+        event_id::work_ended, logged_id(n, w),
+        "worker=" + worker_name(n, w.request.worker) +
+            " end=" + std::string(name_of(work_result_names, a.result)) +
             (a.reason.empty() ? "" : " reason=" + a.reason) +
-            (a.end == work_result::answered
+            (a.result == work_result::answered
                  ? " status=" + std::to_string(a.parser->get().result_int())
                  : "") +
-            lost_text(n, w, a) + " us=" + std::to_string(mono_now() - began));
+            describe_lost_work(n, w, a) +
+            " us=" + std::to_string(mono_now() - started_at));
     advance_gate(n, w.request.worker);
     count(*n.metrics.gate, "decision", a.reason.empty() ? "ran" : a.reason);
-    if (a.end == work_result::answered || a.head_forwarded)
+    if (a.result == work_result::answered || a.head_forwarded)
         return alive;
-    const bool ran = a.end == work_result::lost;
+    const bool ran = a.result == work_result::lost;
     return send_refusal(n, w, stream,
                         ran ? hop_outcome::unknown : hop_outcome::not_run,
-                        a.reason, a.end == work_result::shed, y);
+                        a.reason, a.result == work_result::shed, y);
 }
 
-/// What the gate decided by, for the log.
-std::string gate_text(const node_state& n, const exit_work& w)
+std::string describe_gate(const node_state& n, const exit_request& w)
 {
     const auto it = n.door.workers.find(w.request.worker);
     if (it == n.door.workers.end())
@@ -360,26 +353,26 @@
 bool handle_work(node_state& n, string_request message,
                  beast::tcp_stream& stream, const yield& y)
 {
-    auto w = parse_work(n, std::move(message), mono_now());
+    auto w = parse_exit_request(n, std::move(message), mono_now());
     if (!w)
-        return false; // no entry node speaks like this
-    const auto refused = let_in(n, *w, stream, y);
+        return false; // not sent by an entry node
+    const auto refused = admit_work(n, *w, stream, y);
     if (refused == gate_error::none)
-        return run_started(n, *w, stream, y);
+        return execute_admitted(n, *w, stream, y);
     const std::string reason(name_of(gate_error_names, refused));
     count(*n.metrics.gate, "decision", reason);
-    // A duplicate is the one refusal after which the work may have run.
+    // Only after this refusal may the work have run: its first copy did.
     const bool ran = refused == gate_error::duplicate;
     n.events.write(
-        event_id::work_refused, label_of(n, *w),
+        event_id::work_refused, logged_id(n, *w),
         "worker=" + to_hex(static_cast<std::uint64_t>(w->request.worker)) +
-            " reason=" + reason + gate_text(n, *w));
+            " reason=" + reason + describe_gate(n, *w));
     return send_refusal(n, *w, stream,
                         ran ? hop_outcome::unknown : hop_outcome::not_run,
                         reason, false, y);
 }
 
-bool send_pong(node_state& n, beast::tcp_stream& to, const yield& y)
+bool send_ping_reply(node_state& n, beast::tcp_stream& to, const yield& y)
 {
     hop_answer a;
     a.outcome = hop_outcome::answer;
@@ -398,7 +391,8 @@
     while (alive) {
         http::request_parser<http::string_body> parser;
         parser.body_limit(static_cast<std::uint64_t>(n.settings.max_body));
-        stream.expires_after(std::chrono::microseconds(idle_bound));
+        stream.expires_after(
+            std::chrono::microseconds(connection_idle_timeout));
         beast::error_code ec;
         http::async_read(stream, buf, parser, y[ec]);
         if (ec)
@@ -406,13 +400,13 @@
         stream.expires_never();
         auto message = parser.release();
         if (message.target() == ping_path)
-            alive = send_pong(n, stream, y);
+            alive = send_ping_reply(n, stream, y);
         else if (message.target() == allowance_path)
             alive = answer_ask(n, message, stream, y);
         else if (message.target() == retry_path)
             alive = answer_retry_loan(n, message, stream, y);
         else if (message.target() == shorten_path)
-            alive = take_shorten(n, message, stream, y);
+            alive = handle_shorten_notice(n, message, stream, y);
         else
             alive = handle_work(n, std::move(message), stream, y);
     }
--- a/src/node/exit_server.hpp
+++ b/src/node/exit_server.hpp
@@ -1,22 +1,23 @@
-// The exit side: takes work from entry nodes, asks the gate, and is the only
-// process that sends anything to the backend servers of its VM.
+// The exit side of a node: serves requests from entry nodes, admits them
+// through the gate and forwards them to the backend servers of this VM.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Serves one connection of an entry node until it ends.
+/// Serves one connection from an entry node until it closes.
 void serve_exit_connection(node_state& n, beast::tcp_stream stream,
                            const yield& y);
 
-/// Gives out slots that became free and refuses queued work that is late.
+/// Assigns free slots to queued work and refuses work that can't end in time.
 void advance_gate(node_state& n, worker_id w);
 
-/// Does what is due at the gate: queued work, old records.
+/// Advances the gate of every backend server and drops expired attempt records.
 void tick_gate(node_state& n, mono_us now);
 
-/// Answers an entry node's revoke.
+/// Revokes an attempt for an entry node. Queued work is refused at once.
+/// @param boot process that the entry node sent the attempt to
 revoke_reply handle_revoke(node_state& n, const attempt_id& a, boot_id boot);
 
 } // namespace jasminetray
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -1,4 +1,4 @@
-// Evidence into verdicts; see health_driver.hpp.
+// Outlier detection; see health_driver.hpp.
 #include "node/health_driver.hpp"
 
 #include "balance/load_news.hpp"
@@ -17,13 +17,13 @@
 
 namespace {
 
-constexpr std::size_t max_asked = 8;          // peers per question
-constexpr span_us ask_bound = 30 * us_per_ms; // for their answers
-constexpr double assumed_rate = 18;           // requests/s at a worker
-constexpr span_us min_overdue = us_per_s;     // work of 0.1 s has a tail
-constexpr int publish_step = 50;              // severity, in the record
+constexpr std::size_t max_queried_peers = 8;
+constexpr span_us peer_query_timeout = 30 * us_per_ms;
+constexpr double assumed_request_rate = 18; // requests/s at a backend server
+constexpr span_us min_overdue = us_per_s;   // above the tail of short requests
+constexpr int severity_publish_step = 50;
 
-double floor_of(const node_state& n, const local_worker& w)
+double floor_slots_for(const node_state& n, const local_worker& w)
 {
     const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
     const auto it = n.view.services.find(service_of(w.service));
@@ -32,8 +32,8 @@
     return floor_slots(*c, it->second.total);
 }
 
-std::string evidence_text(const node_state& n, const local_worker& w,
-                          mono_us now)
+std::string describe_evidence(const node_state& n, const local_worker& w,
+                              mono_us now)
 {
     const auto& h = w.health;
     const auto seen =
@@ -45,11 +45,11 @@
         << " recent_seen=" << seen.seen << " recent_failed=" << seen.failed
         << " usual_fail_rate=" << h.usual.fail_rate
         << " outstanding=" << h.open.size() << " flaps=" << h.flaps
-        << " floor_slots=" << floor_of(n, w);
+        << " floor_slots=" << floor_slots_for(n, w);
     return out.str();
 }
 
-std::string scope_text(const node_state& n, std::uint32_t scope)
+std::string scope_name(const node_state& n, std::uint32_t scope)
 {
     const auto centre = scope_centre(n, scope);
     return centre == centre_id{} ? "all"
@@ -60,15 +60,16 @@
 {
     const auto s = health_suspect(w.health, w.policy, now);
     n.events.write(event_id::worker_ejected, w.name,
-                   evidence_text(n, w, now) +
-                       " scope=" + scope_text(n, s.scope));
+                   describe_evidence(n, w, now) +
+                       " scope=" + scope_name(n, s.scope));
     health_eject(w.health, w.policy, now);
     count(*n.metrics.verdicts, "step", "eject");
     publish_self(n);
 }
 
-/// @param text the evidence as it was before the usual moved
-void hold(node_state& n, const local_worker& w, const std::string& text)
+/// @param text evidence from before the baseline was updated
+void log_held_ejection(node_state& n, const local_worker& w,
+                       const std::string& text)
 {
     n.events.write(event_id::ejection_held_by_peers, w.name, text);
     count(*n.metrics.verdicts, "step", "hold");
@@ -87,9 +88,9 @@
     publish_self(n);
 }
 
-void judge(node_state& n, std::uint64_t ticket)
+void decide_ejection(node_state& n, std::uint64_t query_id)
 {
-    const auto ask = n.asks.find(ticket);
+    const auto ask = n.asks.find(query_id);
     if (ask == n.asks.end())
         return;
     const auto reports = std::move(ask->second.reports);
@@ -99,15 +100,14 @@
         return;
     const auto now = mono_now();
     auto& w = it->second;
-    const auto text = evidence_text(n, w, now);
+    const auto text = describe_evidence(n, w, now);
     const auto step = health_judge(w.health, w.policy, reports, now);
     if (step == verdict_step::eject)
         eject(n, w, now);
     if (step == verdict_step::hold)
-        hold(n, w, text);
+        log_held_ejection(n, w, text);
 }
 
-/// Nodes that guard other backend servers of a service, in random order.
 std::vector<node_address> peers_of(node_state& n, service_id service)
 {
     std::vector<node_address> peers;
@@ -121,7 +121,7 @@
     }
     std::sort(nodes.begin(), nodes.end());
     nodes.erase(std::unique(nodes.begin(), nodes.end()), nodes.end());
-    while (!nodes.empty() && peers.size() < max_asked) {
+    while (!nodes.empty() && peers.size() < max_queried_peers) {
         const auto k = random_below(n.rng, nodes.size());
         const auto node = n.view.nodes.find(nodes[k]);
         if (node != n.view.nodes.end() && node->second.state == liveness::alive)
@@ -142,37 +142,38 @@
     }
 }
 
-void ask(node_state& n, local_worker& w, mono_us now)
+void query_peers(node_state& n, local_worker& w, mono_us now)
 {
     const auto s = health_suspect(w.health, w.policy, now);
-    const auto ticket = n.next_ask++;
-    auto& a = n.asks[ticket];
+    const auto query_id = n.next_ask++;
+    auto& a = n.asks[query_id];
     a.about = w.id;
     add_local_reports(n, w, s, a.reports);
     usual_question q;
-    q.ticket = ticket;
+    q.ticket = query_id;
     q.service = service_of(w.service);
     q.back = now - s.since;
     q.centre = scope_centre(n, s.scope);
     const auto peers = peers_of(n, q.service);
     a.awaited = peers.size();
     if (peers.empty())
-        return judge(n, ticket);
+        return decide_ejection(n, query_id);
     for (const auto& p : peers)
         n.control.send_usual(p.ip, p.gossip_port, q, false);
     auto timer = std::make_shared<asio::steady_timer>(n.ctx);
-    timer->expires_after(std::chrono::microseconds(ask_bound));
-    timer->async_wait(
-        [&n, ticket, timer](beast::error_code) { judge(n, ticket); });
+    timer->expires_after(std::chrono::microseconds(peer_query_timeout));
+    timer->async_wait([&n, query_id, timer](beast::error_code) {
+        decide_ejection(n, query_id);
+    });
 }
 
-void check(node_state& n, local_worker& w, mono_us now)
+void evaluate_worker(node_state& n, local_worker& w, mono_us now)
 {
     if (!n.settings.experiment.has(mechanism::verdicts))
         return;
     switch (health_check(w.health, w.policy, now)) {
     case verdict_step::ask_peers:
-        return ask(n, w, now);
+        return query_peers(n, w, now);
     case verdict_step::eject:
         return eject(n, w, now);
     case verdict_step::restore:
@@ -182,7 +183,7 @@
         break;
     }
     const int severity = severity_of(w, now);
-    if (severity / publish_step != w.published / publish_step)
+    if (severity / severity_publish_step != w.published / severity_publish_step)
         publish_self(n);
 }
 
@@ -192,40 +193,40 @@
                            const observation& o, mono_us now)
 {
     health_seen(w.health, w.policy, key, o, now);
-    check(n, w, now);
+    evaluate_worker(n, w, now);
 }
 
 namespace {
 
-/// The own data centre hears of it with the load, at once. No record is
-/// published: each would cross to all other data centres, twice in a phase of
-/// seconds, for the few pieces of work that go there. Worth 0.02 of a day at
-/// 21 VMs in three data centres, nothing at 27 in four.
-void tell_suspicion(node_state& n, worker_id id, bool was, const char* cause)
+/// Suspicion spreads in load reports, not in the node's record: gossip between
+/// data centres is too costly for a state that lasts seconds.
+void log_suspicion_change(node_state& n, worker_id id, bool was_suspect,
+                          const char* cause)
 {
-    if (is_suspect(n.door, id, mono_now()) == was)
+    if (is_suspect(n.door, id, mono_now()) == was_suspect)
         return;
-    const auto doubt = gate_failure_probability(n.door, id, mono_now());
-    n.events.write(was ? event_id::worker_trusted : event_id::worker_suspected,
+    const auto probability = gate_failure_probability(n.door, id, mono_now());
+    n.events.write(was_suspect ? event_id::worker_trusted
+                               : event_id::worker_suspected,
                    n.workers[id].name,
                    "cause=" + std::string(cause) +
-                       " doubt=" + std::to_string(percent_of(doubt)));
+                       " doubt=" + std::to_string(percent_of(probability)));
 }
 
-void note_silence(node_state& n, worker_id id, mono_us now)
+void record_overdue_request(node_state& n, worker_id id, mono_us now)
 {
-    const bool was = is_suspect(n.door, id, now);
+    const bool was_suspect = is_suspect(n.door, id, now);
     deliver_gate_decisions(n, gate_report_overdue(n.door, id, now));
-    tell_suspicion(n, id, was, "silence");
+    log_suspicion_change(n, id, was_suspect, "silence");
 }
 
 } // namespace
 
 void record_early_success(node_state& n, worker_id id, mono_us now)
 {
-    const bool was = is_suspect(n.door, id, now);
+    const bool was_suspect = is_suspect(n.door, id, now);
     gate_check_early_success(n.door, id, now);
-    tell_suspicion(n, id, was, "survival");
+    log_suspicion_change(n, id, was_suspect, "survival");
 }
 
 void record_gate_outcome(node_state& n, worker_id id, outcome_kind seen,
@@ -233,11 +234,11 @@
 {
     if (seen == outcome_kind::neutral)
         return;
-    const bool was = is_suspect(n.door, id, mono_now());
+    const bool was_suspect = is_suspect(n.door, id, mono_now());
     const bool failed = seen == outcome_kind::failed;
     deliver_gate_decisions(
         n, gate_report_outcome(n.door, id, failed, took, mono_now()));
-    tell_suspicion(n, id, was, failed ? "failure" : "success");
+    log_suspicion_change(n, id, was_suspect, failed ? "failure" : "success");
 }
 
 void publish_load_reports(node_state& n, mono_us now)
@@ -276,12 +277,12 @@
 void evaluate_workers(node_state& n, mono_us now)
 {
     for (auto& [id, w] : n.workers) {
-        check(n, w, now);
-        // A backend server that hangs gives no outcome at all; without this
-        // it would keep work until the first timeout, 8 to 10 s later.
+        evaluate_worker(n, w, now);
+        // A backend server that hangs yields no outcomes until its first
+        // timeout, so overdue requests count before that.
         const auto overdue = health_overdue(w.health, min_overdue, now);
         for (std::size_t k = 0; k < overdue; ++k)
-            note_silence(n, id, now);
+            record_overdue_request(n, id, now);
     }
 }
 
@@ -323,7 +324,7 @@
         it->second.reports.push_back(
             {r.seen, r.failed, r.above, r.burst_us, r.source_share});
     if (--it->second.awaited == 0)
-        judge(n, q.ticket);
+        decide_ejection(n, q.ticket);
 }
 
 void refresh_ejection_policies(node_state& n)
@@ -332,7 +333,7 @@
         const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
         if (c != nullptr)
             w.policy.threshold =
-                threshold_for(c->false_ejections_per_day, assumed_rate);
+                threshold_for(c->false_ejections_per_day, assumed_request_rate);
     }
 }
 
--- a/src/node/health_driver.hpp
+++ b/src/node/health_driver.hpp
@@ -1,45 +1,44 @@
-// Carries evidence from real work into verdicts: asks peers, claims
-// ejections in the node's record, and takes them back.
+// Outlier detection for the backend servers of this VM: records outcomes,
+// queries peers, and publishes ejections and returns in the node's record.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// One outcome at a backend server of this VM.
+/// Records the outcome of a request and evaluates its backend server.
 void record_worker_outcome(node_state& n, local_worker& w, std::uint64_t key,
                            const observation& o, mono_us now);
 
-/// Takes an outcome into a backend server's doubt; tells the fleet when work
-/// is held back from now on, or no more.
+/// Updates a backend server's failure probability with an outcome, and logs
+/// when the gate starts or stops holding work back.
 void record_gate_outcome(node_state& n, worker_id id, outcome_kind seen,
                          span_us took);
 
-/// The same for work that outlived a quick failure by now.
+/// Does the same for running work that has outlasted a quick failure.
 void record_early_success(node_state& n, worker_id id, mono_us now);
 
-/// Tells the data centre how this VM's backend servers stand, when that has
-/// changed enough to change where work goes.
+/// Sends load reports of this VM's backend servers to the data centre when they
+/// have changed enough to affect load balancing.
 void publish_load_reports(node_state& n, mono_us now);
 
-/// Takes in what other nodes told so.
 void apply_load_reports(node_state& n, const std::vector<load_report>& loads);
 
-/// Looks at all backend servers of this VM: silence is evidence too.
+/// Evaluates all backend servers of this VM and their overdue requests.
 void evaluate_workers(node_state& n, mono_us now);
 
-/// Claim that rides on answers for callers of a data centre.
+/// Returns the severity to report in answers to a data centre.
 /// @param source index of the entry node's data centre
 int severity_for_source(const local_worker& w, std::uint32_t source);
 
-/// A peer asks how backend servers of a service look here.
+/// Answers a peer's query for the statistics of a service's backend servers.
 void answer_baseline_query(node_state& n, std::uint32_t ip, std::uint16_t port,
                            const usual_question& q);
 
-/// A peer's answer to such a question.
+/// Handles a reply; the last one awaited triggers the ejection decision.
 void handle_baseline_response(node_state& n, const usual_question& q);
 
-/// Takes up the settings of the services in force.
+/// Derives the ejection thresholds from the configuration in force.
 void refresh_ejection_policies(node_state& n);
 
 } // namespace jasminetray
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -1,4 +1,4 @@
-// The hosted backend server; see hosted_worker.hpp.
+// Probes and check-ins of a hosted backend server; see hosted_worker.hpp.
 #include "node/hosted_worker.hpp"
 
 #include "base/text_func.hpp"
@@ -11,28 +11,29 @@
 
 namespace {
 
-constexpr span_us probe_bound = us_per_s;     // a probe waits for a slot, 25 ms
-constexpr span_us probe_pause = us_per_s / 2; // at most two probes a second
-constexpr span_us silence_bound = 5 * us_per_s; // three check-ins missed
-constexpr int max_missed = 2;                   // probes, until it is forgotten
-/// Announcements as ready after which an unhealthy answer is overruled: a
-/// health path may lie, and a single announcement may be older than a drain.
-constexpr int ready_twice = 2;
+constexpr span_us probe_timeout = us_per_s;
+constexpr span_us probe_interval = us_per_s / 2; // between the starts of probes
+constexpr span_us check_in_timeout = 5 * us_per_s; // three check-ins missed
+constexpr int max_missed_probes = 2; // probes, until the process is removed
+/// A process that announced itself as ready this often is admitted in spite of
+/// an unhealthy probe, as a health path may be wrong. One announcement is not
+/// enough: it may be older than a drain.
+constexpr int min_ready_announcements = 2;
 
 const std::string& health_path_of(const node_state& n,
                                   const std::string& service)
 {
-    static const std::string usual = service_config{}.health_path;
+    static const std::string default_path = service_config{}.health_path;
     const auto* c = n.config ? find_service(*n.config, service) : nullptr;
-    return c == nullptr ? usual : c->health_path;
+    return c == nullptr ? default_path : c->health_path;
 }
 
-local_worker* in_use(node_state& n)
+local_worker* current_worker(node_state& n)
 {
     return n.workers.empty() ? nullptr : &n.workers.begin()->second;
 }
 
-void admit(node_state& n, announcement a, const probe_result& p)
+void admit_candidate(node_state& n, announcement a, const probe_result& p)
 {
     a.busy = p.running;
     if (a.slots < 1)
@@ -42,11 +43,11 @@
     n.workers[id].answered_ms = wall_ms_now();
 }
 
-/// Takes up the start of the process in use, when an announcement names it;
-/// the process keeps its work and all that is known of it.
-bool learn_start(node_state& n, const announcement& a)
+/// Sets the start time of a process that was first found by a probe. It keeps
+/// its work and its health statistics.
+bool update_start_time(node_state& n, const announcement& a)
 {
-    auto* w = in_use(n);
+    auto* w = current_worker(n);
     if (w == nullptr || w->name != a.name ||
         !is_start_of_answered(a.boot, w->boot, w->answered_ms, wall_ms_now()))
         return false;
@@ -58,15 +59,14 @@
     return true;
 }
 
-/// Whether the announced service is one that work can be for. Another program
-/// may announce what nobody serves in this backend server's name.
+/// Guards against another program that announces an unknown service under this
+/// backend server's name.
 bool is_service_known(const node_state& n, const std::string& service)
 {
     return service == n.settings.hosted.service ||
            (n.config && find_service(*n.config, service) != nullptr);
 }
 
-/// Whether the address has answered as a process that may have work.
 bool may_admit(const node_state& n, const announcement& a,
                const probe_result& p)
 {
@@ -75,27 +75,28 @@
     if (p.name != a.name || (it != known.end() && it->second.left) ||
         !is_service_known(n, a.service))
         return false;
-    return p.healthy || (it != known.end() && it->second.ready >= ready_twice);
+    return p.healthy ||
+           (it != known.end() && it->second.ready >= min_ready_announcements);
 }
 
-/// Whether a later incarnation waits behind the name that answered; its
-/// answer must not keep the earlier one in use.
-bool is_succeeded(const hosted_state& h, const probe_result& p)
+/// Guards against an answer of a new incarnation that keeps the old one in use.
+bool has_newer_candidate(const hosted_state& h, const probe_result& p)
 {
     return h.candidate && h.candidate->name == p.name;
 }
 
-void settle(node_state& n, const probe_result& p)
+/// Keeps the current process, admits a new one or removes a silent one.
+void apply_probe_result(node_state& n, const probe_result& p)
 {
     auto& h = n.hosted;
     h.missed = p.reached ? 0 : h.missed + 1;
-    auto* w = in_use(n);
-    if (w != nullptr && p.name == w->name && !is_succeeded(h, p)) {
+    auto* w = current_worker(n);
+    if (w != nullptr && p.name == w->name && !has_newer_candidate(h, p)) {
         w->announced_at = mono_now();
         return;
     }
     if (h.candidate && may_admit(n, *h.candidate, p))
-        return admit(n, *h.candidate, p);
+        return admit_candidate(n, *h.candidate, p);
     if (!h.candidate && w == nullptr && p.healthy && !p.name.empty()) {
         announcement a;
         a.name = p.name;
@@ -105,10 +106,10 @@
         a.port = at->port;
         a.slots = p.slots;
         if (may_admit(n, a, p))
-            admit(n, a, p);
+            admit_candidate(n, a, p);
     }
-    if (w != nullptr && h.missed >= max_missed &&
-        mono_now() - w->announced_at > silence_bound)
+    if (w != nullptr && h.missed >= max_missed_probes &&
+        mono_now() - w->announced_at > check_in_timeout)
         deregister_worker(n, w->id, "silent");
 }
 
@@ -121,7 +122,7 @@
     if (h.probing || !at)
         return;
     h.probing = true;
-    h.probe_at = mono_now() + probe_pause;
+    h.probe_at = mono_now() + probe_interval;
     const tcp::endpoint to(asio::ip::make_address_v4(at->ip), at->port);
     const auto path = health_path_of(
         n, h.candidate ? h.candidate->service : n.settings.hosted.service);
@@ -133,18 +134,18 @@
             n.events.note(event_id::worker_probed, p.name,
                           "reached=" + std::to_string(p.reached) +
                               " healthy=" + std::to_string(p.healthy));
-            settle(n, p);
+            apply_probe_result(n, p);
         },
         asio::detached);
 }
 
-/// Shuts the gate for an incarnation that leaves; work in flight goes on.
-void leave(node_state& n, const announcement& a)
+/// Closes the gate for an incarnation; its work in flight goes on.
+void drain_incarnation(node_state& n, const announcement& a)
 {
     if (n.hosted.candidate && n.hosted.candidate->name == a.name)
         n.hosted.candidate.reset();
     for (auto& [id, w] : n.workers) {
-        // An earlier incarnation in use is dead: it loses nothing by this.
+        // An earlier incarnation of this name may match too; it is dead then.
         if (w.name != a.name || w.draining)
             continue;
         w.draining = true;
@@ -172,12 +173,12 @@
                        "reason=no-start-time");
         return;
     case incarnation_step::gone:
-        return leave(n, a);
+        return drain_incarnation(n, a);
     case incarnation_step::current:
         break;
     }
-    const auto* w = in_use(n);
-    if (learn_start(n, a) ||
+    const auto* w = current_worker(n);
+    if (update_start_time(n, a) ||
         (w != nullptr && w->name == a.name && w->boot == a.boot)) {
         n.hosted.candidate.reset();
         handle_announcement(n, a);
@@ -191,8 +192,8 @@
 {
     if (!n.config || now < n.hosted.probe_at || n.stopping)
         return;
-    const auto* w = in_use(n);
-    if (w == nullptr || now - w->announced_at > silence_bound)
+    const auto* w = current_worker(n);
+    if (w == nullptr || now - w->announced_at > check_in_timeout)
         start_probe(n);
 }
 
@@ -201,7 +202,7 @@
 {
     probe_result p;
     http_link link(n.ctx);
-    link.stream.expires_after(std::chrono::microseconds(probe_bound));
+    link.stream.expires_after(std::chrono::microseconds(probe_timeout));
     beast::error_code ec;
     link.stream.async_connect(at, y[ec]);
     http::request<http::empty_body> q(http::verb::get, path, 11);
--- a/src/node/hosted_worker.hpp
+++ b/src/node/hosted_worker.hpp
@@ -1,36 +1,34 @@
-// The backend server of a VM that a platform hosts: one process at a time at
-// one address, known by its name and the moment of its start. Check-ins may
-// be late, repeated or from a process that is gone, so an incarnation other
-// than the one in use is believed only after the address itself has answered
-// with its name.
+// Tracks the backend server of a platform-hosted VM: one process at a time at
+// one address, identified by name and start time. Check-ins may be delayed,
+// repeated or sent by a dead process, so a new incarnation is used only after
+// a health probe of the address has returned its name.
 #pragma once
 
 #include "node/announce.hpp"
 
 namespace jasminetray {
 
-/// Takes up what a backend server says about itself. A drain or a leave has
-/// shut the gate when this returns, so that it may be acknowledged.
+/// Handles a check-in of a backend server. A drain or a leave has closed the
+/// gate when this returns, so the caller may acknowledge it.
 void handle_check_in(node_state& n, const announcement& a);
 
-/// Asks the address who is there: at the start, and when check-ins stop.
+/// Probes the address while no process is known there or check-ins are overdue.
 void tick_hosted_worker(node_state& n, mono_us now);
 
-/// What a backend server's health path answered.
 struct probe_result
 {
-    bool reached = false; ///< an answer came, whatever it was
-    bool healthy = false; ///< with status 200
-    std::string name;     ///< process that answered; empty when not told
-    int running = 0;      ///< work in its slots
-    int slots = 0;        ///< 0 when not told
+    bool reached = false; ///< any response was received
+    bool healthy = false; ///< the status was 200
+    std::string name;     ///< process that answered; empty when not reported
+    int running = 0;      ///< requests that it runs
+    int slots = 0;        ///< 0 when not reported
 };
 
-/// Asks a backend server's health path, on a new connection.
+/// Requests a backend server's health path on a new connection.
 probe_result probe_worker(node_state& n, const tcp::endpoint& at,
                           const std::string& path, const yield& y);
 
-/// "running,waiting,slots" of a backend server; nothing when malformed.
+/// Parses "running,waiting,slots"; returns nothing when malformed.
 std::optional<std::array<int, 3>> parse_worker_load(const std::string& text);
 
 } // namespace jasminetray
--- a/src/node/peer_ask.cpp
+++ b/src/node/peer_ask.cpp
@@ -1,4 +1,4 @@
-// Questions to other nodes; see peer_ask.hpp.
+// Requests to other nodes; see peer_request.hpp.
 #include "node/peer_ask.hpp"
 
 #include "node/entry_run.hpp"
@@ -8,9 +8,9 @@
 
 namespace {
 
-std::optional<std::string> exchange(http_link& link, const char* path,
-                                    const std::string& text, mono_us deadline,
-                                    const yield& y)
+std::optional<std::string> exchange_messages(http_link& link, const char* path,
+                                             const std::string& text,
+                                             mono_us deadline, const yield& y)
 {
     http::request<http::empty_body> q(http::verb::get, path, 11);
     q.set(hop_name, text);
@@ -35,12 +35,12 @@
                   mono_us deadline, const yield& y)
 {
     auto link = take_idle(n.exits[to], mono_now() - keep_exit_idle);
-    auto answer =
-        link ? exchange(*link, path, text(), deadline, y) : std::nullopt;
+    auto answer = link ? exchange_messages(*link, path, text(), deadline, y)
+                       : std::nullopt;
     if (!answer && mono_now() < deadline) {
         link = connect_exit(n, at, deadline, y);
-        answer =
-            link ? exchange(*link, path, text(), deadline, y) : std::nullopt;
+        answer = link ? exchange_messages(*link, path, text(), deadline, y)
+                      : std::nullopt;
     }
     if (answer)
         give_back(n.exits[to], std::move(link), max_exit_idle, mono_now());
--- a/src/node/peer_ask.hpp
+++ b/src/node/peer_ask.hpp
@@ -1,24 +1,23 @@
-// Short questions to another node's exit side, over its work connections.
+// Short requests to another node's exit side, over its work connections.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Sends a question and waits for the answer. A kept connection may have been
-/// forgotten meanwhile, so a new one follows it.
-/// @param text gives the question; called for each connection, as times in it
-///        run on
-/// @return the answer's hop field, empty when it has none; nothing without an
-///         answer in time
+/// Sends a request and waits for the reply. When an idle connection fails, the
+/// request is sent again on a new one.
+/// @param text returns the request's hop field; called once per connection, as
+///        the field may hold remaining times
+/// @return the reply's hop field, or nothing after the deadline
 std::optional<std::string>
 send_peer_request(node_state& n, node_id to, const node_address& at,
                   const char* path, const std::function<std::string()>& text,
                   mono_us deadline, const yield& y);
 
-/// Answers such a question.
-/// @param text for the hop field; empty for none
-/// @return false when the connection is of no more use
+/// Sends the reply to such a request.
+/// @param text hop field; empty for none
+/// @return false when the connection can't be used again
 bool send_peer_reply(beast::tcp_stream& to, const std::string& text,
                      const yield& y);
 
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -14,16 +14,15 @@
 
 namespace {
 
-/// A process that ended and its successor share the id of a backend server
-/// until the successor announces itself.
+/// Returns the id of a process. It includes the number of crashes, as a process
+/// and its successor share a worker id until the successor announces itself.
 process_id process_of(const local_worker& w)
 {
     return static_cast<process_id>(
         mix_hash(static_cast<std::uint64_t>(w.id), w.crashes));
 }
 
-/// Whether a backend server of this node ended under a request.
-bool is_noted_here(const node_state& n, fingerprint request)
+bool has_local_report(const node_state& n, fingerprint request)
 {
     for (const auto& r : reports_of(n.quarantine, request, uptime_now())) {
         for (const auto& [id, w] : n.workers) {
@@ -34,12 +33,12 @@
     return false;
 }
 
-fingerprint hash_once(const node_state& n, const string_request& m,
-                      std::optional<fingerprint>& known)
+fingerprint cached_fingerprint(const node_state& n, const string_request& m,
+                               std::optional<fingerprint>& cache)
 {
-    if (!known)
-        known = fingerprint_of(n, m);
-    return *known;
+    if (!cache)
+        cache = fingerprint_of(n, m);
+    return *cache;
 }
 
 std::vector<node_address> alive_nodes(const node_state& n)
@@ -52,29 +51,28 @@
     return all;
 }
 
-/// Nodes that guard other backend servers of a service.
-std::vector<node_address> guards_of(const node_state& n, service_id service)
+std::vector<node_address> exit_nodes_of(const node_state& n, service_id service)
 {
-    std::vector<node_address> guards;
+    std::vector<node_address> exit_nodes;
     const auto it = n.view.services.find(service);
     if (it == n.view.services.end())
-        return guards;
+        return exit_nodes;
     for (const auto& c : it->second.candidates) {
         const auto node = n.view.nodes.find(c.exit);
         if (c.exit != n.self.id && node != n.view.nodes.end())
-            guards.push_back(node->second.record.address);
+            exit_nodes.push_back(node->second.record.address);
     }
-    return guards;
+    return exit_nodes;
 }
 
-void tell(node_state& n, std::vector<node_address> to,
-          std::vector<quarantine_message> messages)
+void send_messages(node_state& n, std::vector<node_address> to,
+                   std::vector<quarantine_message> messages)
 {
     if (!to.empty() && !messages.empty())
         n.control.send_crashes(std::move(to), std::move(messages));
 }
 
-void log_begun(node_state& n, const std::vector<fingerprint>& begun)
+void log_quarantines(node_state& n, const std::vector<fingerprint>& begun)
 {
     for (const auto f : begun)
         n.events.write(event_id::quarantine_began, to_text(f),
@@ -99,13 +97,13 @@
 }
 
 bool is_quarantined(const node_state& n, const string_request& m,
-                    std::optional<fingerprint>& known)
+                    std::optional<fingerprint>& cache)
 {
-    // Most of the time there is no suspect, and no request is hashed.
+    // Avoids hashing requests while none is suspect.
     if (n.quarantine.marks_by_request.empty() ||
         !n.settings.experiment.has(mechanism::quarantine))
         return false;
-    return is_quarantined(n.quarantine, hash_once(n, m, known));
+    return is_quarantined(n.quarantine, cached_fingerprint(n, m, cache));
 }
 
 void record_worker_crash(node_state& n, const local_worker& w,
@@ -114,9 +112,9 @@
     const auto now = uptime_now();
     const auto begun =
         quarantine_record_crash(n.quarantine, process_of(w), running, now);
-    log_begun(n, begun);
-    tell(n, guards_of(n, service_of(w.service)),
-         quarantine_announce(n.quarantine, running, now));
+    log_quarantines(n, begun);
+    send_messages(n, exit_nodes_of(n, service_of(w.service)),
+                  quarantine_announce(n.quarantine, running, now));
     for (const auto f : running) {
         if (is_quarantined(n.quarantine, f))
             save_quarantine_row(n, f);
@@ -124,10 +122,10 @@
 }
 
 void clear_answered_request(node_state& n, const string_request& m,
-                            std::optional<fingerprint>& known)
+                            std::optional<fingerprint>& cache)
 {
     if (!n.quarantine.marks_by_request.empty())
-        end_quarantine(n, hash_once(n, m, known), "answer");
+        end_quarantine(n, cached_fingerprint(n, m, cache), "answer");
 }
 
 bool end_quarantine(node_state& n, fingerprint request, const char* cause)
@@ -148,24 +146,26 @@
 {
     const auto now = uptime_now();
     const auto begun = quarantine_apply_reports(n.quarantine, m.reports, now);
-    log_begun(n, begun);
-    // Ends at the same moment are each noted before any node knows of all.
+    log_quarantines(n, begun);
+    // When several nodes record crashes at the same time, each learns only here
+    // that the quarantine began, and the row must still be written.
     for (const auto f : begun) {
-        if (is_noted_here(n, f))
+        if (has_local_report(n, f))
             save_quarantine_row(n, f);
     }
-    tell(n, {from}, quarantine_reply(n.quarantine, m, n.rng, now));
+    send_messages(n, {from}, quarantine_reply(n.quarantine, m, n.rng, now));
 }
 
 void tick_quarantine(node_state& n)
 {
     auto due = quarantine_tick(n.quarantine, uptime_now());
     if (!due.push.empty())
-        tell(n, random_some(alive_nodes(n), n.quarantine.policy.fanout, n.rng),
-             std::move(due.push));
+        send_messages(
+            n, random_some(alive_nodes(n), n.quarantine.policy.fanout, n.rng),
+            std::move(due.push));
     if (due.compare)
-        tell(n, random_some(alive_nodes(n), 1, n.rng),
-             {quarantine_compare(n.quarantine)});
+        send_messages(n, random_some(alive_nodes(n), 1, n.rng),
+                      {quarantine_compare(n.quarantine)});
 }
 
 } // namespace jasminetray
--- a/src/node/quarantine_driver.hpp
+++ b/src/node/quarantine_driver.hpp
@@ -1,44 +1,44 @@
-// The quarantine of requests at this node: what crashes and answers say, what
-// other nodes tell, and which requests are refused. See quarantine_type.hpp.
+// Applies crashes, answers and reports of other nodes to this node's quarantine
+// of requests; see quarantine_type.hpp.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Reason of refusals, as an exit node tells it.
+/// Reason that an exit node gives for refusing a quarantined request.
 inline constexpr auto quarantined_reason =
     name_of(gate_error_names, gate_error::quarantined);
 
-/// Fingerprint of a request as it is passed on between nodes.
+/// Returns the fingerprint of a request in the form that nodes forward it.
 fingerprint fingerprint_of(const node_state& n, const string_request& m);
 
-/// Whether a request is to be refused.
-/// @param known its fingerprint; filled in when it is first needed
+/// Returns whether a request must be refused.
+/// @param cache holds its fingerprint after first use
 bool is_quarantined(const node_state& n, const string_request& m,
-                    std::optional<fingerprint>& known);
+                    std::optional<fingerprint>& cache);
 
-/// Takes up that a backend server's process ended while it ran requests.
-/// Nodes that guard other backend servers of its service are told at once.
+/// Records that a backend server crashed while it ran requests, and reports it
+/// to the exit nodes of its service at once.
 void record_worker_crash(node_state& n, const local_worker& w,
                          const std::vector<fingerprint>& running);
 
-/// Takes up that a backend server answered a request and lives.
-/// @param known as above
+/// Clears a request that a backend server answered without crashing.
+/// @param cache holds its fingerprint after first use
 void clear_answered_request(node_state& n, const string_request& m,
-                            std::optional<fingerprint>& known);
+                            std::optional<fingerprint>& cache);
 
-/// Clears a request, here and at all nodes that hear of it.
+/// Clears a request here, and through gossip at all nodes.
 /// @param cause for the log
-/// @return false when nothing stood against it
+/// @return false when there were no reports against it
 bool end_quarantine(node_state& n, fingerprint request, const char* cause);
 
-/// Takes up what another node tells, and answers.
-/// @param from its gossip address
+/// Handles a message of another node, and replies.
+/// @param from gossip address of the sender
 void handle_quarantine_message(node_state& n, const node_address& from,
                                const quarantine_message& m);
 
-/// Tells other nodes what is due.
+/// Sends the reports and digests that are due to other nodes.
 void tick_quarantine(node_state& n);
 
 } // namespace jasminetray
--- a/src/node/quarantine_store.cpp
+++ b/src/node/quarantine_store.cpp
@@ -1,4 +1,4 @@
-// Rows about the quarantine; see quarantine_store.hpp.
+// Rows of the quarantine; see quarantine_store.hpp.
 #include "node/quarantine_store.hpp"
 
 #include "base/random_func.hpp"
@@ -14,31 +14,32 @@
 namespace {
 
 constexpr char quarantine_table[] = "jasminetray-quarantine";
-constexpr span_us first_pause = 200 * us_per_ms; // after a failed call
-constexpr span_us max_pause = 5 * us_per_s;
-constexpr int max_tries = 20; // of a write; the other nodes have it anyway
+constexpr span_us initial_backoff = 200 * us_per_ms;
+constexpr span_us max_backoff = 5 * us_per_s;
+constexpr int max_write_attempts = 20; // of a write
 
-span_us next_pause(span_us pause)
+span_us next_backoff(span_us backoff)
 {
-    return std::min(max_pause, 2 * pause);
+    return std::min(max_backoff, 2 * backoff);
 }
 
-/// Runs `call` on the request thread after a pause with jitter: an outage ends
-/// for all nodes at once.
+/// Runs `call` on the request thread after a pause with jitter, so that nodes
+/// don't retry at the same time after an outage.
 template <typename Call>
-void after_pause(node_state& n, span_us pause, Call call)
+void run_after_backoff(node_state& n, span_us backoff, Call call)
 {
     auto timer = std::make_shared<asio::steady_timer>(n.ctx);
-    const auto jitter = random_below(n.rng, static_cast<std::uint64_t>(pause));
+    const auto jitter =
+        random_below(n.rng, static_cast<std::uint64_t>(backoff));
     timer->expires_after(
-        std::chrono::microseconds(pause + static_cast<span_us>(jitter)));
+        std::chrono::microseconds(backoff + static_cast<span_us>(jitter)));
     timer->async_wait([timer, call](beast::error_code ec) {
         if (!ec)
             call();
     });
 }
 
-void take_rows(node_state& n, const row_list& list)
+void apply_rows(node_state& n, const row_list& list)
 {
     const auto wall_ms = wall_ms_now();
     quarantine_message m;
@@ -54,37 +55,38 @@
     handle_quarantine_message(n, {}, m);
 }
 
-void read_rows(node_state& n, span_us pause)
+void read_rows(node_state& n, span_us backoff)
 {
-    asio::post(*n.slow_calls, [&n, pause, store = n.store] {
+    asio::post(*n.slow_calls, [&n, backoff, store = n.store] {
         store_error last{};
         const auto list = store.list_rows(quarantine_table, last);
-        asio::post(n.ctx, [&n, pause, list] {
+        asio::post(n.ctx, [&n, backoff, list] {
             if (list)
-                return take_rows(n, *list);
-            after_pause(n, pause,
-                        [&n, pause] { read_rows(n, next_pause(pause)); });
+                return apply_rows(n, *list);
+            run_after_backoff(n, backoff, [&n, backoff] {
+                read_rows(n, next_backoff(backoff));
+            });
         });
     });
 }
 
-void write_row(node_state& n, const row_write& w, span_us pause, int tries)
+void write_row(node_state& n, const row_write& w, span_us backoff, int attempts)
 {
-    asio::post(*n.slow_calls, [&n, w, pause, tries, store = n.store] {
+    asio::post(*n.slow_calls, [&n, w, backoff, attempts, store = n.store] {
         store_error last{};
         const bool done =
             store.write_rows({w}, last) || last == store_error::missing;
-        asio::post(n.ctx, [&n, w, pause, tries, done, last] {
+        asio::post(n.ctx, [&n, w, backoff, attempts, done, last] {
             if (done)
                 return;
-            if (tries >= max_tries) {
+            if (attempts >= max_write_attempts) {
                 n.events.write(
                     event_id::quarantine_not_stored, w.name.key,
                     "error=" + std::string(name_of(store_error_names, last)));
                 return;
             }
-            after_pause(n, pause, [&n, w, pause, tries] {
-                write_row(n, w, next_pause(pause), tries + 1);
+            run_after_backoff(n, backoff, [&n, w, backoff, attempts] {
+                write_row(n, w, next_backoff(backoff), attempts + 1);
             });
         });
     });
@@ -95,7 +97,7 @@
 void load_quarantine_rows(node_state& n)
 {
     if (n.slow_calls != nullptr)
-        read_rows(n, first_pause);
+        read_rows(n, initial_backoff);
 }
 
 void save_quarantine_row(node_state& n, fingerprint request)
@@ -106,7 +108,7 @@
     w.name = {quarantine_table, to_text(request)};
     w.value =
         quarantine_row(n.quarantine, request, uptime_now(), wall_ms_now());
-    write_row(n, w, first_pause, 1);
+    write_row(n, w, initial_backoff, 1);
 }
 
 void delete_quarantine_row(node_state& n, fingerprint request)
@@ -116,7 +118,7 @@
     row_write w;
     w.name = {quarantine_table, to_text(request)};
     w.remove = true;
-    write_row(n, w, first_pause, 1);
+    write_row(n, w, initial_backoff, 1);
 }
 
 } // namespace jasminetray
--- a/src/node/worker_work.cpp
+++ b/src/node/worker_work.cpp
@@ -1,4 +1,4 @@
-// Work on a backend server; see worker_work.hpp.
+// Requests to a backend server; see worker_request.hpp.
 #include "node/worker_work.hpp"
 
 #include "base/text_func.hpp"
@@ -15,27 +15,28 @@
 
 namespace {
 
-constexpr span_us connect_bound = 250 * us_per_ms;
-constexpr span_us keep_idle = 30 * us_per_s;
-constexpr std::size_t max_idle = 16; // connections per backend server
-constexpr double late_factor = 4;    // of the usual time, to be evidence
-/// The backend server answers at its deadline; that answer is on its way.
+constexpr span_us connect_timeout = 250 * us_per_ms;
+constexpr span_us max_idle_age = 30 * us_per_s;
+constexpr std::size_t max_idle_connections = 16; // per backend server
+/// A timeout counts as a failure after this multiple of the baseline duration.
+constexpr double timeout_failure_factor = 4;
+/// Allows an answer that was sent at the deadline to arrive.
 constexpr span_us answer_margin = 30 * us_per_ms;
 
-/// A connection to a backend server; a quiet one is not trusted with
-/// non-idempotent work, because opening a new one costs a millisecond and
-/// finding out that it was dead costs the answer.
+/// Returns an idle or a new connection to a backend server. Non-idempotent work
+/// gets only a recently used one: it can't be sent again when a stale
+/// connection turns out to be closed.
 std::unique_ptr<http_link> connect_worker(node_state& n, local_worker& w,
                                           const gate_request& r, const yield& y)
 {
     const auto now = mono_now();
-    const auto since = now - (r.idempotent ? keep_idle : n.settings.quiet);
+    const auto since = now - (r.idempotent ? max_idle_age : n.settings.quiet);
     if (auto link = take_idle(w.idle, since))
         return link;
     auto link = std::make_unique<http_link>(n.ctx);
     const auto at = w.at;
     link->stream.expires_after(std::chrono::microseconds(
-        std::min(connect_bound, std::max<span_us>(1, r.deadline - now))));
+        std::min(connect_timeout, std::max<span_us>(1, r.deadline - now))));
     beast::error_code ec;
     link->stream.async_connect(at, y[ec]);
     if (ec)
@@ -44,9 +45,9 @@
     return link;
 }
 
-string_request make_message(const node_state& n, const local_worker& w,
-                            const string_request& from, const gate_request& r,
-                            mono_us now)
+string_request make_worker_message(const node_state& n, const local_worker& w,
+                                   const string_request& from,
+                                   const gate_request& r, mono_us now)
 {
     const auto& d = n.dialect;
     string_request q = from;
@@ -63,8 +64,7 @@
     return q;
 }
 
-/// Watches the entry node's connection and cancels the work's connection
-/// when it closes.
+/// Cancels `link` when the entry node's connection closes.
 struct caller_watch
 {
     http_link* link = nullptr; ///< null when the work has ended
@@ -86,38 +86,40 @@
     return watch;
 }
 
-/// What a missing answer says about the backend server.
-outcome_kind judge_silence(const local_worker& w, std::uint32_t route_class,
-                           span_us target, const beast::error_code& ec,
-                           span_us waited)
+outcome_kind classify_missing_answer(const local_worker& w,
+                                     std::uint32_t route_class, span_us target,
+                                     const beast::error_code& ec,
+                                     span_us waited)
 {
     if (ec != beast::error::timeout)
-        return outcome_kind::failed; // it closed or cut the connection
-    // A deadline that was short from the start says nothing. How short that is
-    // the operator's target tells before durations are known.
-    const auto& usual = w.health.usual;
-    const bool learned = target == 0 || is_duration_known(usual, route_class);
+        return outcome_kind::failed; // closed or reset by the backend server
+    // A timeout after a short deadline is no evidence of a failure. Until the
+    // baseline is known, the route's target stands in for it.
+    const auto& baseline = w.health.usual;
+    const bool baseline_known =
+        target == 0 || is_duration_known(baseline, route_class);
     const double expected =
-        learned ? late_factor *
-                      std::exp(usual.times[route_class % work_classes].log_mean)
-                : static_cast<double>(target);
+        baseline_known
+            ? timeout_failure_factor *
+                  std::exp(baseline.times[route_class % work_classes].log_mean)
+            : static_cast<double>(target);
     return static_cast<double>(waited) > expected ? outcome_kind::failed
                                                   : outcome_kind::neutral;
 }
 
-/// What an answer is judged by. The backend server itself may have left the
-/// node's list meanwhile; its answer is delivered all the same.
-struct answer_facts
+/// What an answer is checked against. A copy, as the backend server may be
+/// removed from the node's list before its answer arrives.
+struct expected_answer
 {
     std::string worker; ///< name, for the log
-    std::string echo;   ///< that the answer must carry; empty for any
+    std::string echo;   ///< request id that the answer must carry
     bool echo_required = true;
 };
 
-answer_facts make_facts(const node_state& n, const local_worker& w,
-                        const string_request& sent)
+expected_answer make_expected_answer(const node_state& n, const local_worker& w,
+                                     const string_request& sent)
 {
-    answer_facts f;
+    expected_answer f;
     f.worker = w.name;
     f.echo = field_of(sent, beast_text(n.dialect.request));
     const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
@@ -125,8 +127,8 @@
     return f;
 }
 
-bool echo_fits(const node_state& n, const answer_facts& f,
-               const response_parser& p)
+bool echo_matches(const node_state& n, const expected_answer& f,
+                  const response_parser& p)
 {
     if (!n.safeguards.check_echo)
         return true;
@@ -134,11 +136,10 @@
     return echo.empty() ? !f.echo_required : echo == f.echo;
 }
 
-/// Whether the backend server says that it did not run the work. A refusal
-/// may come without an echo; one with another request's echo is not ours, and
-/// taken for ours it would make "not run" a lie.
-bool is_not_run(const node_state& n, const answer_facts& f,
-                const http::response_header<>& head)
+/// Returns whether the backend server reports that it did not run the work. A
+/// refusal may lack the request id, but must not carry another one.
+bool reports_not_run(const node_state& n, const expected_answer& f,
+                     const http::response_header<>& head)
 {
     const auto echo = field_of(head, beast_text(n.dialect.request));
     if (!echo.empty() && echo != f.echo)
@@ -149,13 +150,13 @@
     constexpr unsigned misdirected = 421;
     if (!n.dialect.expected_worker.empty() && status == misdirected)
         return true;
-    const auto word = field_of(head, beast_text(n.dialect.not_run));
-    return word == "1" && (status == unavailable || status == too_many);
+    const auto not_run_value = field_of(head, beast_text(n.dialect.not_run));
+    return not_run_value == "1" &&
+           (status == unavailable || status == too_many);
 }
 
-/// Whether a success is the backend server's own whole answer, as far as its
-/// head tells. Bytes that something else made must not pass for it.
-bool is_proven(const node_state& n, const http::response_header<>& head)
+/// Guards against answers that an intermediary made or recoded.
+bool has_origin_proof(const node_state& n, const http::response_header<>& head)
 {
     if (n.dialect.proof.empty())
         return true;
@@ -163,73 +164,74 @@
            head.count(http::field::content_encoding) == 0;
 }
 
-/// Whether a failure may come from a call that the backend server made
-/// through this node while it ran the work. That call's failure is another
-/// backend server's, and must not make this one a suspect. Sick ones fail at
-/// once, before they call anybody.
-bool is_calls_fault(const node_state& n, const worker_exchange& a)
+/// Returns whether a failure may come from a downstream call through this node,
+/// and must not count against the caller. An unhealthy backend server fails
+/// before it makes any call.
+bool may_be_downstream_failure(const node_state& n, const worker_exchange& a)
 {
-    constexpr span_us at_once = 20 * us_per_ms;
-    return mono_now() - a.began > at_once && n.call_failed_at >= a.began;
+    constexpr span_us immediate_failure = 20 * us_per_ms;
+    return mono_now() - a.started_at > immediate_failure &&
+           n.call_failed_at >= a.started_at;
 }
 
-/// Says that the deadline passed, not whose fault that was: it may have come
-/// short. A backend server that hangs shows by its silence long before.
+/// Not counted as a failure: the deadline may have been too short. A backend
+/// server that hangs is detected by its overdue requests.
 constexpr unsigned gateway_timeout = 504;
 
-void judge_answer(node_state& n, const answer_facts& f, const gate_request& r,
-                  worker_exchange& a)
+void classify_answer(node_state& n, const expected_answer& f,
+                     const gate_request& r, worker_exchange& a)
 {
     const auto& head = a.parser->get();
     const auto status = head.result_int();
-    if (is_not_run(n, f, head)) {
-        a.end = work_result::shed;
+    if (reports_not_run(n, f, head)) {
+        a.result = work_result::shed;
         a.reason = "shed";
         return;
     }
     const bool success = status / 100 == 2;
-    if (!echo_fits(n, f, *a.parser) || (success && !is_proven(n, head))) {
-        // Another request's answer: it must not reach this caller, and this
-        // connection's later answers would be off by one too.
-        a.end = work_result::lost;
-        a.seen = outcome_kind::failed;
+    if (!echo_matches(n, f, *a.parser) ||
+        (success && !has_origin_proof(n, head))) {
+        // Not this request's own answer. It must not reach the caller, nor may
+        // later answers on this connection.
+        a.result = work_result::lost;
+        a.outcome = outcome_kind::failed;
         a.reason = "echo-mismatch";
         n.events.write(event_id::echo_mismatch, to_text(r.attempt),
                        "worker=" + f.worker + " expected=" + f.echo + " got=" +
                            field_of(head, beast_text(n.dialect.request)));
         return;
     }
-    a.end = work_result::answered;
-    if (status == gateway_timeout || (status >= 500 && is_calls_fault(n, a)))
-        a.seen = outcome_kind::neutral;
+    a.result = work_result::answered;
+    if (status == gateway_timeout ||
+        (status >= 500 && may_be_downstream_failure(n, a)))
+        a.outcome = outcome_kind::neutral;
     else if (status >= 500)
-        a.seen = outcome_kind::failed;
+        a.outcome = outcome_kind::failed;
     else if (status >= 400)
-        a.seen = outcome_kind::neutral;
+        a.outcome = outcome_kind::neutral;
     else
-        a.seen = outcome_kind::good;
+        a.outcome = outcome_kind::good;
 }
 
-/// Reads an answer's held part. A second answer to an earlier request may
-/// stand in front of it on a kept connection; the echo tells, and it is read
-/// past, because the right one is still to come.
-beast::error_code read_answer(node_state& n, const answer_facts& f,
+/// Reads an answer up to the number of bytes that are held in memory. On a
+/// reused connection, duplicate answers to earlier requests are skipped.
+beast::error_code read_answer(node_state& n, const expected_answer& f,
                               worker_exchange& a, bool head_only,
                               const yield& y)
 {
-    constexpr int max_strays = 4;
+    constexpr int max_duplicate_answers = 4;
     beast::error_code ec;
-    for (int k = 0; k < max_strays; ++k) {
+    for (int k = 0; k < max_duplicate_answers; ++k) {
         a.parser = std::make_unique<response_parser>();
         a.parser->body_limit(boost::none);
         a.parser->skip(head_only);
         ec = read_held(*a.link, *a.parser,
                        static_cast<std::size_t>(n.settings.hold_bytes), y);
-        const bool stray = !ec && a.link->used && a.parser->is_done() &&
-                           a.parser->keep_alive() &&
-                           !is_not_run(n, f, a.parser->get()) &&
-                           !echo_fits(n, f, *a.parser);
-        if (!stray)
+        const bool duplicate = !ec && a.link->used && a.parser->is_done() &&
+                               a.parser->keep_alive() &&
+                               !reports_not_run(n, f, a.parser->get()) &&
+                               !echo_matches(n, f, *a.parser);
+        if (!duplicate)
             break;
         n.events.write(event_id::echo_mismatch, f.echo,
                        "worker=" + f.worker + " stray=1");
@@ -237,13 +239,13 @@
     return ec;
 }
 
-/// Writes the request and reads the answer's held part.
-void exchange(node_state& n, local_worker& w, const string_request& message,
-              const gate_request& r, worker_exchange& a,
-              beast::tcp_stream& entry, const yield& y)
+void exchange_with_worker(node_state& n, local_worker& w,
+                          const string_request& message, const gate_request& r,
+                          worker_exchange& a, beast::tcp_stream& entry,
+                          const yield& y)
 {
-    auto q = make_message(n, w, message, r, mono_now());
-    const auto facts = make_facts(n, w, q);
+    auto q = make_worker_message(n, w, message, r, mono_now());
+    const auto expected = make_expected_answer(n, w, q);
     const auto id = w.id;
     const auto left = std::max<span_us>(1, r.deadline - mono_now());
     a.link->stream.expires_after(
@@ -256,7 +258,8 @@
     const auto sent = http::async_write(a.link->stream, q, y[ec]);
     const bool written = !ec;
     if (written)
-        ec = read_answer(n, facts, a, message.method() == http::verb::head, y);
+        ec = read_answer(n, expected, a, message.method() == http::verb::head,
+                         y);
     if (watch) {
         watch->link = nullptr;
         beast::error_code ignored;
@@ -266,19 +269,20 @@
     if (it != n.workers.end())
         it->second.busy.erase(a.link.get());
     if (!ec)
-        return judge_answer(n, facts, r, a);
-    const bool left_early = watch && watch->left;
-    a.end = !written && sent == 0 ? work_result::unsent : work_result::lost;
-    a.reason = left_early ? "caller-left"
-               : written  ? "worker-silent"
-                          : "worker-write";
-    a.closed = !left_early && ec != beast::error::timeout;
-    if (a.end == work_result::lost && (left_early || a.closed))
-        record_lost_work(n, id, message, a.closed);
-    if (it != n.workers.end() && !left_early)
-        a.seen = written ? judge_silence(it->second, a.route_class, r.target,
-                                         ec, mono_now() - a.began)
-                         : outcome_kind::failed;
+        return classify_answer(n, expected, r, a);
+    const bool caller_left = watch && watch->left;
+    a.result = !written && sent == 0 ? work_result::unsent : work_result::lost;
+    a.reason = caller_left ? "caller-left"
+               : written   ? "worker-silent"
+                           : "worker-write";
+    a.closed_by_worker = !caller_left && ec != beast::error::timeout;
+    if (a.result == work_result::lost && (caller_left || a.closed_by_worker))
+        record_lost_work(n, id, message, a.closed_by_worker);
+    if (it != n.workers.end() && !caller_left)
+        a.outcome = written ? classify_missing_answer(it->second, a.route_class,
+                                                      r.target, ec,
+                                                      mono_now() - a.started_at)
+                            : outcome_kind::failed;
 }
 
 } // namespace
@@ -289,25 +293,26 @@
 {
     worker_exchange a;
     a.source = source;
-    a.began = mono_now();
+    a.started_at = mono_now();
     auto it = n.workers.find(r.worker);
     if (it == n.workers.end()) {
         a.reason = "no-worker";
         return a;
     }
-    a.route_class = health_class(it->second.health, r.route_class, a.began);
-    a.key = ++it->second.next_key;
-    health_sent(it->second.health,
-                {a.key, a.began, source, a.route_class, r.target, false});
+    a.route_class =
+        health_class(it->second.health, r.route_class, a.started_at);
+    a.evidence_key = ++it->second.next_key;
+    health_sent(it->second.health, {a.evidence_key, a.started_at, source,
+                                    a.route_class, r.target, false});
     a.link = connect_worker(n, it->second, r, y);
-    it = n.workers.find(r.worker); // it may have left while we connected
+    it = n.workers.find(r.worker); // may have been removed meanwhile
     if (it != n.workers.end() && a.link) {
-        exchange(n, it->second, message, r, a, entry, y);
+        exchange_with_worker(n, it->second, message, r, a, entry, y);
     } else {
-        a.seen = outcome_kind::failed;
+        a.outcome = outcome_kind::failed;
         a.reason = "worker-connect";
     }
-    if (a.end != work_result::answered)
+    if (a.result != work_result::answered)
         finish_on_worker(n, r, a, false);
     return a;
 }
@@ -319,16 +324,17 @@
     const auto it = n.workers.find(r.worker);
     if (it == n.workers.end())
         return;
-    if (!whole && a.end == work_result::lost && a.parser &&
-        a.seen == outcome_kind::good)
-        a.seen = outcome_kind::failed; // cut in the middle
-    record_worker_outcome(n, it->second, a.key,
-                          {a.seen, now - a.began, a.source, a.route_class},
-                          now);
+    if (!whole && a.result == work_result::lost && a.parser &&
+        a.outcome == outcome_kind::good)
+        a.outcome = outcome_kind::failed; // truncated answer
+    record_worker_outcome(
+        n, it->second, a.evidence_key,
+        {a.outcome, now - a.started_at, a.source, a.route_class}, now);
     const bool keep =
         whole && a.parser->keep_alive() && is_clean(*a.link, true);
     if (a.link && (keep || !n.safeguards.close_unclean))
-        give_back(it->second.idle, std::move(a.link), max_idle, now);
+        give_back(it->second.idle, std::move(a.link), max_idle_connections,
+                  now);
 }
 
 } // namespace jasminetray
--- a/src/node/worker_work.hpp
+++ b/src/node/worker_work.hpp
@@ -1,36 +1,35 @@
-// Running one piece of work on a backend server of this VM.
+// Sends requests to the backend servers of this VM and classifies the results.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// What a backend server made of a piece of work.
+/// A request to a backend server, with its connection and result.
 struct worker_exchange
 {
-    work_result end = work_result::unsent;
-    outcome_kind seen = outcome_kind::neutral; ///< as evidence
-    std::string reason;                        ///< when there is no answer
-    bool closed = false; ///< no answer: the backend server ended it
+    work_result result = work_result::unsent;
+    outcome_kind outcome = outcome_kind::neutral; ///< for outlier detection
+    std::string reason; ///< why there is no answer; else empty
+    bool closed_by_worker = false;
     std::unique_ptr<http_link> link;
-    std::unique_ptr<response_parser> parser; ///< of the answer
-    std::uint64_t key = 0; ///< of the outstanding work, for the evidence
-    mono_us began = 0;
-    bool head_forwarded = false; ///< the answer's head went on already
-    std::uint32_t source = 0;
-    std::uint32_t route_class = 0; ///< of the route, at its backend server
+    std::unique_ptr<response_parser> parser; ///< holds what has been read
+    std::uint64_t evidence_key = 0; ///< outstanding request's, in its health
+    mono_us started_at = 0;
+    bool head_forwarded = false;
+    std::uint32_t source = 0;      ///< see node_state::source_index
+    std::uint32_t route_class = 0; ///< at this backend server
 };
 
-/// Sends work to its backend server and reads the answer, or as much as is
-/// held. The entry node's connection is watched: idempotent work whose
-/// caller has left is cancelled.
+/// Sends a request to its backend server and reads the answer, up to the number
+/// of bytes that are held in memory. Idempotent work is cancelled when the
+/// entry node's connection closes.
 worker_exchange execute_on_worker(node_state& n, const string_request& message,
                                   const gate_request& r, std::uint32_t source,
                                   beast::tcp_stream& entry, const yield& y);
 
-/// Ends an exchange whose answer was passed on: the evidence, and what
-/// becomes of the connection.
-/// @param whole the answer was complete
+/// Ends a request: records its outcome, and keeps or closes the connection.
+/// @param whole whether the complete answer was forwarded
 void finish_on_worker(node_state& n, const gate_request& r, worker_exchange& a,
                       bool whole);
 
