--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -6,7 +6,7 @@
 #include "limit/limit_type.hpp"
 #include "node/entry_run.hpp"
 #include "node/http_func.hpp"
-#include "node/peer_ask.hpp"
+#include "node/peer_request.hpp"
 
 #include <map>
 
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -6,7 +6,7 @@
 #include "config/config_query.hpp"
 #include "limit/limit_type.hpp"
 #include "node/http_func.hpp"
-#include "node/peer_ask.hpp"
+#include "node/peer_request.hpp"
 
 #include <algorithm>
 
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -11,9 +11,9 @@
 #include "node/entry_team.hpp"
 #include "node/health_driver.hpp"
 #include "node/http_func.hpp"
-#include "node/peer_ask.hpp"
+#include "node/peer_request.hpp"
 #include "node/quarantine_driver.hpp"
-#include "node/worker_work.hpp"
+#include "node/worker_request.hpp"
 #include "verdict/verdict_query.hpp"
 
 namespace jasminetray {
--- a/src/node/peer_ask.cpp
+++ b/src/node/peer_request.cpp
@@ -1,5 +1,5 @@
 // Requests to other nodes; see peer_request.hpp.
-#include "node/peer_ask.hpp"
+#include "node/peer_request.hpp"
 
 #include "node/entry_run.hpp"
 #include "node/http_func.hpp"
--- a/src/node/worker_work.cpp
+++ b/src/node/worker_request.cpp
@@ -1,5 +1,5 @@
 // Requests to a backend server; see worker_request.hpp.
-#include "node/worker_work.hpp"
+#include "node/worker_request.hpp"
 
 #include "base/text_func.hpp"
 #include "config/config_query.hpp"
