--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -59,7 +59,7 @@
 std::string bearer(const string_request& q)
 {
     constexpr std::string_view scheme = "Bearer ";
-    const auto field = field_of(q, "authorization");
+    const auto field = header_value(q, "authorization");
     return field.rfind(scheme, 0) == 0 ? field.substr(scheme.size()) : "";
 }
 
@@ -99,9 +99,8 @@
     if (ec)
         return;
     const bool loopback = from.address().is_loopback();
-    serve_simple(stream, y, [&](const string_request& q) {
-        return answer(n, q, loopback);
-    });
+    serve_http(stream, y,
+               [&](const string_request& q) { return answer(n, q, loopback); });
 }
 
 } // namespace jasminetray
--- a/src/node/admin_team.cpp
+++ b/src/node/admin_team.cpp
@@ -23,7 +23,7 @@
 {
     const auto age = age_of(n.fresh, uptime_now());
     json::object o{
-        {"served", may_serve_keys(n)},
+        {"served", can_verify_keys(n)},
         {"version", static_cast<std::int64_t>(n.fresh.in_force)},
         {"proven_version", static_cast<std::int64_t>(n.fresh.proven.version)},
         {"bound_ms", n.settings.hosted.revoke_bound / us_per_ms}};
@@ -55,7 +55,7 @@
         return {{"error", "no team '" + name + "' in the configuration"}};
     auto o = limits_json(name, it->second);
     const auto key = text_hash(name);
-    const auto homes = team_homes(n, key, 1);
+    const auto homes = team_owners(n, key, 1);
     if (!homes.empty()) {
         const auto home = n.view.nodes.find(homes.front());
         o["home"] = home->second.record.name;
--- a/src/node/caller_read.cpp
+++ b/src/node/caller_read.cpp
@@ -149,7 +149,7 @@
     if (!ec && !is_framed(parser.get()))
         return bad_request(http::status::bad_request, "unknown-coding");
     if (!ec && is_body_long(parser)) {
-        if (auto refused = refuse_head(n, parser.get()))
+        if (auto refused = check_request_head(n, parser.get()))
             return refused;
     }
     if (!ec)
@@ -202,7 +202,7 @@
 
 void strip_connection_fields(http::fields& f)
 {
-    const auto named = split(field_of(f, "connection"), ',');
+    const auto named = split(header_value(f, "connection"), ',');
     strip_hop_fields(f);
     for (const auto& name : named)
         f.erase(std::string(trim(name)));
--- a/src/node/crash_watch.cpp
+++ b/src/node/crash_watch.cpp
@@ -56,7 +56,7 @@
 
 bool refuses_connections(node_state& n, const tcp::endpoint& at, const yield& y)
 {
-    http_link link(n.ctx);
+    http_connection link(n.ctx);
     link.stream.expires_after(std::chrono::microseconds(probe_connect_timeout));
     beast::error_code ec;
     link.stream.async_connect(at, y[ec]);
--- a/src/node/dialect_type.hpp
+++ b/src/node/dialect_type.hpp
@@ -14,7 +14,7 @@
     std::string_view request = "x-request-id";
     /// The id above is the caller's own and passes through; else each
     /// attempt gets one of the node's.
-    bool callers_id = false;
+    bool preserve_request_id = false;
     std::string_view deadline = "x-deadline-ms"; ///< remaining milliseconds
     std::string_view not_run = "x-shed"; ///< answer to work that did not run
     std::string_view load;               ///< "running,waiting,slots"
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -1,4 +1,4 @@
-// Attempts of the entry side over the network; see entry_run.hpp.
+// Attempts of the entry side over the network; see entry_request.hpp.
 #include "base/text_func.hpp"
 #include "node/entry_run.hpp"
 #include "node/http_func.hpp"
@@ -38,7 +38,7 @@
     }
 }
 
-void take_claim(node_state& n, const entry_run& r, const entry_try& t,
+void take_claim(node_state& n, const entry_request& r, const entry_attempt& t,
                 const hop_answer& a)
 {
     const auto it = n.view.services.find(r.service_key);
@@ -59,7 +59,7 @@
 }
 
 /// Proves a connection and fetches a fresh stamp.
-bool ping(node_state& n, http_link& link, node_id exit, const yield& y)
+bool ping(node_state& n, http_connection& link, node_id exit, const yield& y)
 {
     http::request<http::empty_body> q(http::verb::get, ping_path, 11);
     q.keep_alive(true);
@@ -72,13 +72,14 @@
     http::async_read(link.stream, link.buf, r, y[ec]);
     if (ec)
         return false;
-    const auto a = parse_hop_answer(field_of(r, hop_name));
+    const auto a = parse_hop_answer(header_value(r, hop_header));
     if (a)
         take_stamp(n, exit, *a);
     return a.has_value();
 }
 
-bool needs_ping(const entry_run& r, const http_link& link, node_id exit)
+bool needs_ping(const entry_request& r, const http_connection& link,
+                node_id exit)
 {
     if (r.machine.policy.idempotent)
         return false;
@@ -91,12 +92,13 @@
 }
 
 /// A connection that is fit for this work, or nothing.
-std::unique_ptr<http_link> open_link(entry_run& r, entry_try& t, bool fresh,
-                                     const yield& y)
+std::unique_ptr<http_connection> open_link(entry_request& r, entry_attempt& t,
+                                           bool fresh, const yield& y)
 {
     auto& n = r.n;
     if (!fresh) {
-        auto link = take_idle(n.exits[t.exit], mono_now() - keep_exit_idle);
+        auto link = take_idle_connection(n.exits[t.exit],
+                                         mono_now() - exit_idle_timeout);
         // A connection that was quiet may have been forgotten by something
         // in between; non-idempotent work is not the way to find out.
         if (link &&
@@ -109,7 +111,7 @@
     return link;
 }
 
-string_request make_message(const entry_run& r, const entry_try& t,
+string_request make_message(const entry_request& r, const entry_attempt& t,
                             std::uint32_t count)
 {
     const auto& n = r.n;
@@ -136,17 +138,17 @@
     h.target = r.route->target_us;
     h.boot = t.boot;
     h.stamp = known ? it->second.stamp : 0;
-    q.set(hop_name, to_text(h));
+    q.set(hop_header, to_text(h));
     q.prepare_payload();
     return q;
 }
 
 /// Turns the exit node's answer into an event.
-try_result read_outcome(const entry_run& r, entry_try& t, std::uint32_t count,
-                        const hop_answer& a)
+try_result read_outcome(const entry_request& r, entry_attempt& t,
+                        std::uint32_t count, const hop_answer& a)
 {
     if (r.n.safeguards.check_echo &&
-        a.echo != echo_of(attempt_id{r.id, count})) {
+        a.echo != attempt_echo(attempt_id{r.id, count})) {
         r.n.events.write(event_id::echo_mismatch, r.label,
                          "exit=" + to_hex(static_cast<std::uint64_t>(t.exit)));
         return {attempt_event_kind::lost, "echo-mismatch"};
@@ -171,19 +173,19 @@
 }
 
 /// Sends an attempt and waits for its answer's held part.
-try_result run_try(entry_run& r, entry_try& t, std::uint32_t count, bool fresh,
-                   const yield& y)
+try_result run_try(entry_request& r, entry_attempt& t, std::uint32_t count,
+                   bool fresh, const yield& y)
 {
     auto& n = r.n;
     t.link = open_link(r, t, fresh, y);
     if (!t.link || t.cancelled) {
         if (!t.cancelled)
-            note_path(n, t.exit, true);
+            record_path_result(n, t.exit, true);
         return {attempt_event_kind::unsent, "exit-unreachable"};
     }
     // Work that must not run twice is not given up for a path that may heal:
     // its answer can still come.
-    guard_path(t.link->stream.socket(), r.machine.policy.idempotent);
+    set_path_timeouts(t.link->stream.socket(), r.machine.policy.idempotent);
     auto q = make_message(r, t, count);
     // A little longer than the machine waits: it decides, not the socket.
     t.link->stream.expires_after(std::chrono::microseconds(
@@ -197,16 +199,16 @@
         t.parser->body_limit(boost::none);
         if (r.message.method() == http::verb::head)
             t.parser->skip(true);
-        ec = read_held(*t.link, *t.parser,
-                       static_cast<std::size_t>(n.settings.hold_bytes), y);
+        ec = read_buffered(*t.link, *t.parser,
+                           static_cast<std::size_t>(n.settings.hold_bytes), y);
     }
     if (ec) {
         if (!t.cancelled)
-            note_path(n, t.exit, true);
+            record_path_result(n, t.exit, true);
         return {attempt_event_kind::lost, "exit-lost"};
     }
-    note_path(n, t.exit, false);
-    const auto a = parse_hop_answer(field_of(t.parser->get(), hop_name));
+    record_path_result(n, t.exit, false);
+    const auto a = parse_hop_answer(header_value(t.parser->get(), hop_header));
     if (!a)
         return {attempt_event_kind::lost, "exit-malformed"};
     take_stamp(n, t.exit, *a);
@@ -214,22 +216,22 @@
     return read_outcome(r, t, count, *a);
 }
 
-void release(entry_run& r, entry_try& t, const try_result& result)
+void release(entry_request& r, entry_attempt& t, const try_result& result)
 {
     if (auto* c = view_candidate(r.n.view, r.service_key, t.worker))
         c->in_flight = std::max(0, c->in_flight - 1);
     // An answer that is not whole goes on; the caller's coroutine owns it.
     const bool complete = t.parser && t.parser->is_done() && !t.cancelled;
     if (complete && result.reason != "echo-mismatch" &&
-        is_clean(*t.link, t.parser->keep_alive())) {
-        give_back(r.n.exits[t.exit], std::move(t.link), max_exit_idle,
-                  mono_now());
+        is_reusable(*t.link, t.parser->keep_alive())) {
+        return_connection(r.n.exits[t.exit], std::move(t.link),
+                          max_idle_exit_connections, mono_now());
     } else if (complete || t.cancelled) {
         t.link.reset();
     }
 }
 
-std::optional<choice> choose(entry_run& r)
+std::optional<choice> choose(entry_request& r)
 {
     const auto it = r.n.view.services.find(r.service_key);
     if (it == r.n.view.services.end())
@@ -252,7 +254,7 @@
 }
 
 /// Fills in where an attempt goes; false when nobody is left.
-bool aim(entry_run& r, entry_try& t, std::uint32_t count)
+bool aim(entry_request& r, entry_attempt& t, std::uint32_t count)
 {
     const auto c = choose(r);
     if (!c)
@@ -302,10 +304,11 @@
 
 } // namespace
 
-std::unique_ptr<http_link> connect_exit(node_state& n, const node_address& to,
-                                        mono_us deadline, const yield& y)
+std::unique_ptr<http_connection> connect_exit(node_state& n,
+                                              const node_address& to,
+                                              mono_us deadline, const yield& y)
 {
-    auto link = std::make_unique<http_link>(n.ctx);
+    auto link = std::make_unique<http_connection>(n.ctx);
     const auto left = std::max<span_us>(1, deadline - mono_now());
     link->stream.expires_after(
         std::chrono::microseconds(std::min(connect_bound, left)));
@@ -318,13 +321,13 @@
     return link;
 }
 
-void entry_run::tell(attempt_event e)
+void entry_request::tell(attempt_event e)
 {
     inbox.push_back(std::move(e));
     signal.cancel();
 }
 
-void note_path(node_state& n, node_id exit, bool lost)
+void record_path_result(node_state& n, node_id exit, bool lost)
 {
     if (exit == n.self.id || !n.settings.experiment.has(mechanism::path_guard))
         return;
@@ -337,7 +340,7 @@
 /// Whether the attempt that begins now may go to a suspect: its failure
 /// would be tried again, within attempts and budget. The track of the
 /// attempt stands in the machine already.
-bool others_may_fail(const entry_run& r)
+bool others_may_fail(const entry_request& r)
 {
     const auto& m = r.machine;
     std::uint32_t reached = 0;
@@ -351,7 +354,7 @@
 
 } // namespace
 
-void start_attempt(const std::shared_ptr<entry_run>& r, std::uint32_t count,
+void start_attempt(const std::shared_ptr<entry_request>& r, std::uint32_t count,
                    attempt_action_kind kind)
 {
     const bool fresh = kind != attempt_action_kind::send;
@@ -373,7 +376,7 @@
         asio::detached);
 }
 
-void start_revoke(const std::shared_ptr<entry_run>& r, std::uint32_t count)
+void start_revoke(const std::shared_ptr<entry_request>& r, std::uint32_t count)
 {
     const auto& t = r->tries[count - 1];
     const auto left = r->machine.deadline - mono_now();
@@ -394,12 +397,12 @@
                                   ? attempt_event_kind::revoke_open
                                   : attempt_event_kind::revoke_unknown;
             if (!reply)
-                note_path(r->n, r->tries[count - 1].exit, true);
+                record_path_result(r->n, r->tries[count - 1].exit, true);
             r->tell({kind, count, reply ? "" : "exit-silent"});
         });
 }
 
-void cancel_attempt(entry_run& r, std::uint32_t count)
+void cancel_attempt(entry_request& r, std::uint32_t count)
 {
     auto& t = r.tries[count - 1];
     // Another attempt was faster. If it is the path and not the work, the
@@ -416,15 +419,17 @@
     const auto it = n.view.nodes.find(exit);
     if (it == n.view.nodes.end())
         return;
-    entry_try t;
+    entry_attempt t;
     t.exit = exit;
     t.address = it->second.record.address;
     asio::spawn(
         n.ctx,
-        [&n, t = std::make_shared<entry_try>(std::move(t))](const yield& y) {
+        [&n,
+         t = std::make_shared<entry_attempt>(std::move(t))](const yield& y) {
             auto link =
                 connect_exit(n, t->address, mono_now() + connect_bound, y);
-            note_path(n, t->exit, !link || !ping(n, *link, t->exit, y));
+            record_path_result(n, t->exit,
+                               !link || !ping(n, *link, t->exit, y));
         },
         asio::detached);
 }
--- a/src/node/entry_refusal.cpp
+++ b/src/node/entry_refusal.cpp
@@ -66,7 +66,7 @@
     return x;
 }
 
-refusal final_refusal(const entry_run& r)
+refusal final_refusal(const entry_request& r)
 {
     refusal x;
     x.outcome = r.machine.outcome;
--- a/src/node/entry_refusal.hpp
+++ b/src/node/entry_refusal.hpp
@@ -26,6 +26,6 @@
 refusal quarantine_refusal(const node_state& n);
 
 /// Refusal of a request whose attempts have all ended.
-refusal final_refusal(const entry_run& r);
+refusal final_refusal(const entry_request& r);
 
 } // namespace jasminetray
--- a/src/node/entry_run.hpp
+++ b/src/node/entry_run.hpp
@@ -9,26 +9,28 @@
 
 namespace jasminetray {
 
-constexpr span_us keep_exit_idle = 30 * us_per_s; ///< shorter than exits wait
-constexpr std::size_t max_exit_idle = 32; ///< connections to one exit node
+constexpr span_us exit_idle_timeout =
+    30 * us_per_s; ///< shorter than exits wait
+constexpr std::size_t max_idle_exit_connections =
+    32; ///< connections to one exit node
 
 /// One attempt's I/O.
-struct entry_try
+struct entry_attempt
 {
     worker_id worker{};
     node_id exit{};
     boot_id boot{}; ///< process that it was sent to
     node_address address;
-    std::unique_ptr<http_link> link;
+    std::unique_ptr<http_connection> link;
     std::unique_ptr<response_parser> parser;
     span_us retry_after = 0; ///< from the exit node's refusal
     bool cancelled = false;
 };
 
 /// One request of a caller.
-struct entry_run : std::enable_shared_from_this<entry_run>
+struct entry_request : std::enable_shared_from_this<entry_request>
 {
-    entry_run(node_state& state) : n(state), signal(state.ctx)
+    entry_request(node_state& state) : n(state), signal(state.ctx)
     {
     }
 
@@ -49,8 +51,8 @@
     request_state machine;
     mono_us began = 0;
     std::deque<attempt_event> inbox;
-    asio::steady_timer signal;   ///< cancelled when the inbox has news
-    std::deque<entry_try> tries; ///< by count - 1; stable addresses
+    asio::steady_timer signal;       ///< cancelled when the inbox has news
+    std::deque<entry_attempt> tries; ///< by count - 1; stable addresses
     std::vector<worker_id> tried;
     std::optional<worker_id> home; ///< the only one allowed, by key
     bool may_probe = false; ///< the attempt that begins may meet a suspect
@@ -63,24 +65,25 @@
 
 /// A new connection to another node's exit side; null when there is none in
 /// time.
-std::unique_ptr<http_link> connect_exit(node_state& n, const node_address& to,
-                                        mono_us deadline, const yield& y);
+std::unique_ptr<http_connection> connect_exit(node_state& n,
+                                              const node_address& to,
+                                              mono_us deadline, const yield& y);
 
 /// Starts an attempt.
 /// @param kind how it is sent
-void start_attempt(const std::shared_ptr<entry_run>& r, std::uint32_t count,
+void start_attempt(const std::shared_ptr<entry_request>& r, std::uint32_t count,
                    attempt_action_kind kind);
 
 /// Asks the exit node of an attempt whether it ran.
-void start_revoke(const std::shared_ptr<entry_run>& r, std::uint32_t count);
+void start_revoke(const std::shared_ptr<entry_request>& r, std::uint32_t count);
 
 /// Drops an attempt; its connection is closed.
-void cancel_attempt(entry_run& r, std::uint32_t count);
+void cancel_attempt(entry_request& r, std::uint32_t count);
 
 /// Pings one path on a new connection.
 void start_path_probe(node_state& n, node_id exit);
 
 /// Evidence about the path to an exit node, with its log line.
-void note_path(node_state& n, node_id exit, bool lost);
+void record_path_result(node_state& n, node_id exit, bool lost);
 
 } // namespace jasminetray
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -64,7 +64,7 @@
 
 std::string host_of(const string_request& m)
 {
-    const auto host = field_of(m, "host");
+    const auto host = header_value(m, "host");
     return host.substr(0, host.find(':'));
 }
 
@@ -90,7 +90,7 @@
 
 /// Finds route and service and checks the entry node's limits.
 /// @return a refusal, or nothing with `r` filled in
-std::optional<refusal> route_request(node_state& n, entry_run& r)
+std::optional<refusal> route_request(node_state& n, entry_request& r)
 {
     refusal x;
     r.config = n.config;
@@ -139,13 +139,13 @@
 }
 
 /// A caller that closes its connection ends its request.
-void watch_caller(const std::shared_ptr<entry_run>& r, caller& c)
+void watch_caller(const std::shared_ptr<entry_request>& r, caller& c)
 {
     r->watching = true;
     auto* stream = &c.stream;
     stream->socket().async_wait(
         tcp::socket::wait_read,
-        [weak = std::weak_ptr<entry_run>(r), stream](beast::error_code ec) {
+        [weak = std::weak_ptr<entry_request>(r), stream](beast::error_code ec) {
             const auto run = weak.lock();
             if (ec || !run || !run->watching)
                 return;
@@ -154,7 +154,7 @@
         });
 }
 
-void unwatch_caller(entry_run& r, caller& c)
+void unwatch_caller(entry_request& r, caller& c)
 {
     r.watching = false;
     beast::error_code ec;
@@ -162,14 +162,14 @@
 }
 
 /// Gives an attempt's answer to the caller.
-bool deliver(entry_run& r, std::uint32_t number, caller& c, const yield& y)
+bool deliver(entry_request& r, std::uint32_t number, caller& c, const yield& y)
 {
     auto& n = r.n;
     auto& t = r.tries[number - 1];
     auto& answer = t.parser->get();
     strip_hop_fields(answer);
-    if (!n.dialect.callers_id)
-        answer.erase(beast_text(n.dialect.request));
+    if (!n.dialect.preserve_request_id)
+        answer.erase(to_beast_view(n.dialect.request));
     if (n.dialect.explain) {
         answer.set(caller_field::outcome, "answered");
         answer.set(caller_field::request, to_text(r.id));
@@ -198,7 +198,7 @@
 }
 
 /// Carries out actions; gives the attempt to deliver, or 0.
-std::uint32_t carry_out(const std::shared_ptr<entry_run>& r,
+std::uint32_t carry_out(const std::shared_ptr<entry_request>& r,
                         const std::vector<attempt_action>& actions)
 {
     std::uint32_t delivered = 0;
@@ -227,7 +227,7 @@
 
 /// A request that came into quarantine while it was tried is sent to nobody
 /// else, and costs the service no retry.
-void note_quarantine(entry_run& r, attempt_event& e)
+void note_quarantine(entry_request& r, attempt_event& e)
 {
     if (r.machine.quarantined || !is_quarantined(r.n, r.message, r.content))
         return;
@@ -236,7 +236,7 @@
 }
 
 /// Feeds the machine until the request has its final outcome.
-std::uint32_t drive(const std::shared_ptr<entry_run>& r, const yield& y)
+std::uint32_t drive(const std::shared_ptr<entry_request>& r, const yield& y)
 {
     auto& budget = r->n.budgets[r->service->name];
     const auto& h = r->n.settings.hosted;
@@ -277,7 +277,7 @@
 /// Time without an answer after which another attempt is worth its cost. A
 /// route that says when an answer stops being worth all is given most of
 /// that; a hanging backend server still leaves time for one more attempt.
-span_us silence_of(const node_state& n, const entry_run& r, bool idempotent)
+span_us silence_of(const node_state& n, const entry_request& r, bool idempotent)
 {
     constexpr double share = 0.8;
     if (r.route->target_us == 0)
@@ -287,7 +287,7 @@
                       : r.route->deadline_us;
 }
 
-attempt_policy policy_of(const node_state& n, const entry_run& r)
+attempt_policy policy_of(const node_state& n, const entry_request& r)
 {
     attempt_policy p;
     const auto& m = r.message.method_string();
@@ -313,31 +313,32 @@
 
 /// What the exit node and the backend server are to see of the caller's
 /// head; everything else passes through.
-void prepare_message(node_state& n, entry_run& r)
+void prepare_message(node_state& n, entry_request& r)
 {
     auto& m = r.message;
     strip_connection_fields(m);
     m.erase(http::field::expect);
     if (!n.dialect.expected_worker.empty())
-        m.erase(beast_text(n.dialect.expected_worker));
-    name_team(n, r);
+        m.erase(to_beast_view(n.dialect.expected_worker));
+    set_team_header(n, r);
     if (!n.dialect.caller_service.empty())
-        m.set(beast_text(n.dialect.caller_service), n.settings.hosted.service);
+        m.set(to_beast_view(n.dialect.caller_service),
+              n.settings.hosted.service);
 }
 
 /// The caller's own limit, when it says one.
-span_us patience_of(const node_state& n, const entry_run& r)
+span_us patience_of(const node_state& n, const entry_request& r)
 {
-    if (!n.dialect.callers_id)
+    if (!n.dialect.preserve_request_id)
         return r.route->deadline_us;
     const auto ms =
-        parse_whole(field_of(r.message, beast_text(n.dialect.deadline)));
+        parse_whole(header_value(r.message, to_beast_view(n.dialect.deadline)));
     if (!ms || *ms < 0 || *ms > r.route->deadline_us / us_per_ms)
         return r.route->deadline_us;
     return *ms * us_per_ms;
 }
 
-bool is_failure(const entry_run& r, std::uint32_t delivered)
+bool is_failure(const entry_request& r, std::uint32_t delivered)
 {
     constexpr unsigned first_failure = 500;
     if (delivered == 0)
@@ -347,7 +348,8 @@
 }
 
 /// Runs a routed request to its final answer.
-bool run_request(const std::shared_ptr<entry_run>& r, caller& c, const yield& y)
+bool run_request(const std::shared_ptr<entry_request>& r, caller& c,
+                 const yield& y)
 {
     auto& n = r->n;
     auto& of_service = n.in_flight_by_service[r->service->name];
@@ -375,12 +377,12 @@
 bool handle_request(node_state& n, string_request message, caller& c,
                     const yield& y)
 {
-    auto r = std::make_shared<entry_run>(n);
+    auto r = std::make_shared<entry_request>(n);
     r->id = {n.self.id, n.next_request++};
     r->began = mono_now();
     r->message = std::move(message);
-    r->label = n.dialect.callers_id
-                   ? field_of(r->message, beast_text(n.dialect.request))
+    r->label = n.dialect.preserve_request_id
+                   ? header_value(r->message, to_beast_view(n.dialect.request))
                    : to_text(r->id);
     if (const auto x = route_request(n, *r))
         return send_refusal(n, c, r->id, r->label, *x, y);
@@ -390,9 +392,9 @@
     prepare_message(n, *r);
     if (is_quarantined(n, r->message, r->content))
         return send_refusal(n, c, r->id, r->label, quarantine_refusal(n), y);
-    if (const auto x = take_leave(n, *r, y))
+    if (const auto x = acquire_grant(n, *r, y))
         return send_refusal(n, c, r->id, r->label, *x, y);
-    if (const auto x = settle_key(n, *r, y))
+    if (const auto x = apply_idempotency_key(n, *r, y))
         return send_refusal(n, c, r->id, r->label, *x, y);
     return run_request(r, c, y);
 }
@@ -420,7 +422,7 @@
     stream.socket().shutdown(tcp::socket::shutdown_send, ec);
 }
 
-void tick_paths(node_state& n, mono_us now)
+void probe_avoided_paths(node_state& n, mono_us now)
 {
     for (const auto id : path_probes(n.paths, n.path_settings, now))
         start_path_probe(n, id);
--- a/src/node/entry_server.hpp
+++ b/src/node/entry_server.hpp
@@ -10,6 +10,6 @@
 void serve_caller(node_state& n, beast::tcp_stream stream, const yield& y);
 
 /// Pings avoided paths whose time has come.
-void tick_paths(node_state& n, mono_us now);
+void probe_avoided_paths(node_state& n, mono_us now);
 
 } // namespace jasminetray
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -67,7 +67,7 @@
 /// Time that work of a request takes. The backend server's usual time counts
 /// all its work, short lookups too; so it is no less than what the route's
 /// patience with silence lets expect.
-span_us usual_of(const entry_run& r)
+span_us usual_of(const entry_request& r)
 {
     const auto expected = expected_duration(r.machine.policy);
     const auto* c = r.tries.empty() ? nullptr
@@ -77,7 +77,7 @@
 }
 
 /// Adds a request's open attempts to the exit nodes that have them.
-void add_attempts(const entry_run& r, std::map<node_id, exit_share>& shares)
+void add_attempts(const entry_request& r, std::map<node_id, exit_share>& shares)
 {
     for (std::uint32_t k = 0; k < r.tries.size(); ++k) {
         const auto& t = r.tries[k];
@@ -189,10 +189,10 @@
 
 } // namespace
 
-bool answer_retry_loan(node_state& n, const string_request& m,
-                       beast::tcp_stream& to, const yield& y)
+bool grant_retry_loan(node_state& n, const string_request& m,
+                      beast::tcp_stream& to, const yield& y)
 {
-    auto loan = parse_retry_loan(field_of(m, hop_name));
+    auto loan = parse_retry_loan(header_value(m, hop_header));
     if (!loan)
         return false;
     int granted = 0;
@@ -207,7 +207,7 @@
     return send_peer_reply(to, to_text(*loan), y);
 }
 
-void shorten_requests(node_state& n)
+void shorten_deadlines(node_state& n)
 {
     const auto now = mono_now();
     std::map<node_id, exit_share> shares;
@@ -221,9 +221,9 @@
     borrow_later(n);
     for (auto& [exit, share] : shares) {
         // In parts that one head can hold.
-        while (share.attempts.size() > max_shortened) {
+        while (share.attempts.size() > max_shortened_attempts) {
             const auto from = static_cast<std::ptrdiff_t>(
-                share.attempts.size() - max_shortened);
+                share.attempts.size() - max_shortened_attempts);
             exit_share part{
                 share.address,
                 {share.attempts.begin() + from, share.attempts.end()},
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -47,7 +47,7 @@
 std::optional<std::string> only_value(const http::fields& m,
                                       std::string_view name)
 {
-    const auto range = m.equal_range(beast_text(name));
+    const auto range = m.equal_range(to_beast_view(name));
     if (range.first == range.second || std::next(range.first) != range.second)
         return std::nullopt;
     const auto v = range.first->value();
@@ -55,16 +55,16 @@
 }
 
 /// Where teams have no keys: the caller's word, and a limit at each node.
-std::optional<refusal> take_word(node_state& n, entry_run& r)
+std::optional<refusal> take_word(node_state& n, entry_request& r)
 {
-    const auto team = field_of(r.message, beast_text(n.dialect.team));
+    const auto team = header_value(r.message, to_beast_view(n.dialect.team));
     if (take_team_token(n.teams, *r.config, team, mono_now()))
         return std::nullopt;
     return refuse(http::status::too_many_requests, event_id::refused_team_limit,
                   "team-limit", us_per_s);
 }
 
-void take_team(entry_run& r, std::uint32_t place)
+void take_team(entry_request& r, std::uint32_t place)
 {
     r.team = r.config->team_names[place];
     r.team_key = text_hash(r.team);
@@ -74,14 +74,14 @@
 }
 
 /// Asks another node for a team's leave.
-std::optional<allowance_answer> ask_node(node_state& n, node_id id,
-                                         const allowance_ask& a, const yield& y)
+std::optional<allowance_answer>
+ask_node(node_state& n, node_id id, const allowance_request& a, const yield& y)
 {
     const auto it = n.view.nodes.find(id);
     if (it == n.view.nodes.end())
         return std::nullopt;
     const auto deadline =
-        mono_now() + (a.passed_on ? passed_on_bound : ask_bound);
+        mono_now() + (a.forwarded ? passed_on_bound : ask_bound);
     const auto text = send_peer_request(
         n, id, it->second.record.address, allowance_path,
         [&a] { return to_text(a); }, deadline, y);
@@ -92,14 +92,14 @@
 }
 
 /// Leave from the first home that answers; this node may be one itself.
-std::optional<allowance_answer> ask_homes(node_state& n, allowance_ask a,
+std::optional<allowance_answer> ask_homes(node_state& n, allowance_request a,
                                           const yield& y)
 {
-    const auto homes = team_homes(n, a.team, homes_asked);
+    const auto homes = team_owners(n, a.team, homes_asked);
     for (const auto id : homes) {
         if (id == n.self.id)
             return take_allowance(n.allowances, a.team, a.limit, a.patience,
-                                  allowance_policy_of(n), mono_now());
+                                  make_allowance_policy(n), mono_now());
         if (const auto answer = ask_node(n, id, a, y))
             return answer;
     }
@@ -113,7 +113,7 @@
 {
     // An unproven configuration knows neither which keys still work nor which
     // work by now; what it says of a key would be a guess.
-    if (!may_serve_keys(n))
+    if (!can_verify_keys(n))
         return refuse(http::status::service_unavailable,
                       event_id::refused_unproven, "config-unproven",
                       unproven_retry);
@@ -127,7 +127,7 @@
 }
 
 /// How long a request may wait for its team's next token.
-span_us patience_for(const entry_run& r)
+span_us patience_for(const entry_request& r)
 {
     return static_cast<span_us>(patience_share *
                                 static_cast<double>(r.route->target_us));
@@ -144,8 +144,8 @@
 
 } // namespace
 
-std::vector<node_id> team_homes(const node_state& n, std::uint64_t team,
-                                std::size_t most)
+std::vector<node_id> team_owners(const node_state& n, std::uint64_t team,
+                                 std::size_t most)
 {
     std::vector<std::pair<std::uint64_t, node_id>> ranks;
     ranks.reserve(n.view.nodes.size());
@@ -167,23 +167,23 @@
     return homes;
 }
 
-allowance_policy allowance_policy_of(const node_state& n)
+allowance_policy make_allowance_policy(const node_state& n)
 {
     return {n.settings.hosted.allowance_overage,
             n.settings.hosted.allowance_slack,
             std::max<std::size_t>(1, n.max_nodes), n.members_changed_at};
 }
 
-bool may_serve_keys(const node_state& n)
+bool can_verify_keys(const node_state& n)
 {
     return !n.config || !n.config->keys_required ||
            is_proven_fresh(n.fresh, n.settings.hosted.revoke_bound,
                            uptime_now());
 }
 
-void tick_freshness(node_state& n)
+void log_freshness_change(node_state& n)
 {
-    const bool proven = may_serve_keys(n);
+    const bool proven = can_verify_keys(n);
     if (proven == n.proven)
         return;
     n.proven = proven;
@@ -196,7 +196,7 @@
             " age_ms=" + (age ? std::to_string(*age / us_per_ms) : "none"));
 }
 
-std::optional<refusal> identify_team(node_state& n, entry_run& r)
+std::optional<refusal> identify_team(node_state& n, entry_request& r)
 {
     r.priority = r.route->priority;
     if (!r.config->keys_required)
@@ -210,13 +210,13 @@
     return std::nullopt;
 }
 
-std::optional<refusal> refuse_head(const node_state& n,
-                                   const http::request_header<>& head)
+std::optional<refusal> check_request_head(const node_state& n,
+                                          const http::request_header<>& head)
 {
     if (!n.config || !n.config->keys_required)
         return std::nullopt;
     const std::string_view target(head.target().data(), head.target().size());
-    const auto host = field_of(head, "host");
+    const auto host = header_value(head, "host");
     const auto* r = find_route(*n.config, host.substr(0, host.find(':')),
                                target.substr(0, target.find('?')));
     std::uint32_t place = 0;
@@ -224,18 +224,18 @@
                                    : check_key(n, *n.config, head, place);
 }
 
-void name_team(const node_state& n, entry_run& r)
+void set_team_header(const node_state& n, entry_request& r)
 {
-    r.message.erase(beast_text(n.dialect.team_key));
+    r.message.erase(to_beast_view(n.dialect.team_key));
     if (!r.config->keys_required && n.dialect.explain)
         return; // the caller's word goes on, as it is all that is known
-    r.message.erase(beast_text(n.dialect.team));
+    r.message.erase(to_beast_view(n.dialect.team));
     if (!r.team.empty())
-        r.message.set(beast_text(n.dialect.team), r.team);
+        r.message.set(to_beast_view(n.dialect.team), r.team);
 }
 
-std::optional<refusal> take_leave(node_state& n, const entry_run& r,
-                                  const yield& y)
+std::optional<refusal> acquire_grant(node_state& n, const entry_request& r,
+                                     const yield& y)
 {
     if (r.limit.rate <= 0)
         return std::nullopt;
@@ -246,7 +246,7 @@
     const bool alone = !answer;
     if (alone)
         answer = take_own_part(n.own_parts, r.team_key, r.limit,
-                               allowance_policy_of(n), mono_now());
+                               make_allowance_policy(n), mono_now());
     if (answer->granted) {
         wait_turn(n, answer->wait, y);
         return std::nullopt;
@@ -258,24 +258,24 @@
     return refused;
 }
 
-bool answer_ask(node_state& n, const string_request& m, beast::tcp_stream& to,
-                const yield& y)
+bool serve_grant_request(node_state& n, const string_request& m,
+                         beast::tcp_stream& to, const yield& y)
 {
-    auto ask = parse_allowance_ask(field_of(m, hop_name));
+    auto ask = parse_allowance_request(header_value(m, hop_header));
     if (!ask)
         return false;
     std::optional<allowance_answer> answer;
     // Asked as the second home by a node that cannot reach the first: if this
     // node can, the first one goes on counting alone.
-    const auto homes = team_homes(n, ask->team, 1);
-    if (!ask->passed_on && !homes.empty() && homes.front() != n.self.id) {
-        ask->passed_on = true;
+    const auto homes = team_owners(n, ask->team, 1);
+    if (!ask->forwarded && !homes.empty() && homes.front() != n.self.id) {
+        ask->forwarded = true;
         answer = ask_node(n, homes.front(), *ask, y);
     }
     if (!answer)
         answer =
             take_allowance(n.allowances, ask->team, ask->limit, ask->patience,
-                           allowance_policy_of(n), mono_now());
+                           make_allowance_policy(n), mono_now());
     return send_peer_reply(to, to_text(*answer), y);
 }
 
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -44,7 +44,7 @@
 std::optional<exit_request>
 parse_exit_request(node_state& n, string_request message, mono_us now)
 {
-    const auto h = parse_hop_request(field_of(message, hop_name));
+    const auto h = parse_hop_request(header_value(message, hop_header));
     if (!h)
         return std::nullopt;
     exit_request w;
@@ -55,7 +55,7 @@
     w.request.idempotent = h->idempotent;
     w.request.may_probe = h->may_probe;
     w.request.is_fallback = h->last_resort;
-    w.request.entry_stopping = h->leaving;
+    w.request.entry_stopping = h->entry_stopping;
     w.request.priority = h->priority;
     w.request.deadline =
         now + std::min(h->remaining, n.door.limits.longest_deadline);
@@ -70,8 +70,8 @@
 
 std::string logged_id(const node_state& n, const exit_request& w)
 {
-    return n.dialect.callers_id
-               ? field_of(w.message, beast_text(n.dialect.request))
+    return n.dialect.preserve_request_id
+               ? header_value(w.message, to_beast_view(n.dialect.request))
                : to_text(w.request.attempt);
 }
 
@@ -87,12 +87,12 @@
     const auto now = mono_now();
     const auto id = w.request.worker;
     hop_answer a;
-    a.echo = echo_of(w.request.attempt);
+    a.echo = attempt_echo(w.request.attempt);
     a.outcome = outcome;
     a.reason = reason;
     a.load = gate_load(n.door, id);
-    a.work = gate_mean_duration(n.door, id);
-    a.doubt = percent_of(gate_failure_probability(n.door, id, now));
+    a.baseline_work = gate_mean_duration(n.door, id);
+    a.failure_percent = percent_of(gate_failure_probability(n.door, id, now));
     a.suspect = is_suspect(n.door, id, now);
     const auto it = n.workers.find(id);
     if (it != n.workers.end())
@@ -114,8 +114,8 @@
     string_response r(http::status::service_unavailable, 11);
     auto a = make_hop_answer(n, w, outcome, reason);
     a.reached = reached;
-    a.retry = gate_retry_after(n.door, w.request.worker);
-    r.set(hop_name, to_text(a));
+    a.retry_after = gate_retry_after(n.door, w.request.worker);
+    r.set(hop_header, to_text(a));
     r.keep_alive(true);
     r.prepare_payload();
     beast::error_code ec;
@@ -229,7 +229,7 @@
 bool handle_shorten_notice(node_state& n, const string_request& m,
                            beast::tcp_stream& to, const yield& y)
 {
-    const auto notice = parse_shorten_notice(field_of(m, hop_name));
+    const auto notice = parse_shorten_notice(header_value(m, hop_header));
     if (!notice)
         return false;
     const auto deadline = mono_now() + notice->remaining;
@@ -256,7 +256,7 @@
     strip_hop_fields(answer);
     auto h = make_hop_answer(n, w, hop_outcome::answer, "");
     h.failed = a.outcome == outcome_kind::failed;
-    answer.set(hop_name, to_text(h));
+    answer.set(hop_header, to_text(h));
     if (!whole) {
         const auto bound = w.request.deadline - mono_now() + us_per_s;
         return relay_answer(*a.link, *a.parser, answer.base(), to, bound, y);
@@ -402,9 +402,9 @@
         if (message.target() == ping_path)
             alive = send_ping_reply(n, stream, y);
         else if (message.target() == allowance_path)
-            alive = answer_ask(n, message, stream, y);
+            alive = serve_grant_request(n, message, stream, y);
         else if (message.target() == retry_path)
-            alive = answer_retry_loan(n, message, stream, y);
+            alive = grant_retry_loan(n, message, stream, y);
         else if (message.target() == shorten_path)
             alive = handle_shorten_notice(n, message, stream, y);
         else
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -61,7 +61,7 @@
 
 } // namespace
 
-void use_hosted_policies(node_state& n)
+void apply_hosted_policies(node_state& n)
 {
     turn_off(n);
     for (const auto& x : n.settings.experiment.scaled)
--- a/src/node/experiment_func.hpp
+++ b/src/node/experiment_func.hpp
@@ -7,6 +7,6 @@
 
 /// Turns on what is known of backend servers that the platform hosts, then
 /// turns off and scales what the settings' experiment names.
-void use_hosted_policies(node_state& n);
+void apply_hosted_policies(node_state& n);
 
 } // namespace jasminetray
--- a/src/node/hop_func.cpp
+++ b/src/node/hop_func.cpp
@@ -69,7 +69,7 @@
 
 } // namespace
 
-std::uint32_t echo_of(const attempt_id& a)
+std::uint32_t attempt_echo(const attempt_id& a)
 {
     constexpr std::uint64_t factor = 0x9e3779b97f4a7c15ULL;
     constexpr unsigned half = 32;
@@ -135,9 +135,9 @@
     return out;
 }
 
-std::string to_text(const allowance_ask& a)
+std::string to_text(const allowance_request& a)
 {
-    std::string out(1, a.passed_on ? 'p' : 'a');
+    std::string out(1, a.forwarded ? 'p' : 'a');
     add(out, a.team);
     add(out, a.limit.version);
     add(out,
@@ -159,7 +159,7 @@
 {
     const auto parts = split(text, ',');
     if (parts.size() < shorten_parts || parts.front() != "s" ||
-        parts.size() > shorten_parts + max_shortened)
+        parts.size() > shorten_parts + max_shortened_attempts)
         return std::nullopt;
     part_reader in{parts, 1};
     shorten_notice s;
@@ -185,20 +185,21 @@
     return in.good ? std::make_optional(l) : std::nullopt;
 }
 
-std::optional<allowance_ask> parse_allowance_ask(const std::string& text)
+std::optional<allowance_request>
+parse_allowance_request(const std::string& text)
 {
     const auto parts = split(text, ',');
     if (parts.size() != ask_parts)
         return std::nullopt;
     part_reader in{parts, 1};
-    allowance_ask a;
-    a.passed_on = parts.front() == "p";
+    allowance_request a;
+    a.forwarded = parts.front() == "p";
     a.team = in.whole();
     a.limit.version = in.whole();
     a.limit.rate = static_cast<double>(in.whole()) / limit_scale;
     a.limit.burst = static_cast<double>(in.whole()) / limit_scale;
     a.patience = in.span() * us_per_ms;
-    if (!in.good || (!a.passed_on && parts.front() != "a"))
+    if (!in.good || (!a.forwarded && parts.front() != "a"))
         return std::nullopt;
     return a;
 }
--- a/src/node/hop_type.hpp
+++ b/src/node/hop_type.hpp
@@ -16,7 +16,7 @@
 namespace jasminetray {
 
 /// Name of the field; callers and backend servers never see it.
-inline constexpr char hop_name[] = "jt";
+inline constexpr char hop_header[] = "jt";
 
 /// From the entry node.
 struct hop_request
@@ -64,24 +64,25 @@
 };
 
 /// An entry node's question to a team's home: may one more request pass?
-struct allowance_ask
+struct allowance_request
 {
     std::uint64_t team = 0; ///< hash of its name
     team_limit limit;
     span_us patience = 0;   ///< that the request has
-    bool passed_on = false; ///< by a node that is not the home itself
+    bool forwarded = false; ///< by a node that is not the home itself
 };
 
 /// Attempts that one shorten_notice names at most; more go into the next, so
 /// that a head stays within the 8 KB that the HTTP library reads.
-inline constexpr std::size_t max_shortened = 64;
+inline constexpr std::size_t max_shortened_attempts = 64;
 
 /// From an entry node that stops: work that an exit node has of it is of use
 /// only so long.
 struct shorten_notice
 {
     span_us remaining = 0; ///< until the entry node gives its last answers
-    std::vector<attempt_id> attempts; ///< invariant: at most max_shortened
+    std::vector<attempt_id>
+        attempts; ///< invariant: at most max_shortened_attempts
 };
 
 /// A node that stops asks another one for retries that it has left, and is
@@ -105,19 +106,20 @@
 std::optional<shorten_notice> parse_shorten_notice(const std::string& text);
 
 /// Field text.
-std::string to_text(const allowance_ask& a);
+std::string to_text(const allowance_request& a);
 
 /// Field text.
 std::string to_text(const allowance_answer& a);
 
 /// Parses what to_text() gave, or nothing.
-std::optional<allowance_ask> parse_allowance_ask(const std::string& text);
+std::optional<allowance_request>
+parse_allowance_request(const std::string& text);
 
 /// Parses what to_text() gave, or nothing.
 std::optional<allowance_answer> parse_allowance_answer(const std::string& text);
 
 /// Hash that an answer echoes.
-std::uint32_t echo_of(const attempt_id& a);
+std::uint32_t attempt_echo(const attempt_id& a);
 
 /// Field text.
 std::string to_text(const hop_request& r);
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -201,7 +201,7 @@
                           const std::string& path, const yield& y)
 {
     probe_result p;
-    http_link link(n.ctx);
+    http_connection link(n.ctx);
     link.stream.expires_after(std::chrono::microseconds(probe_timeout));
     beast::error_code ec;
     link.stream.async_connect(at, y[ec]);
@@ -217,8 +217,8 @@
         return p;
     p.reached = true;
     p.healthy = r.result() == http::status::ok;
-    p.name = field_of(r, n.dialect.worker);
-    if (const auto load = parse_worker_load(field_of(r, n.dialect.load))) {
+    p.name = header_value(r, n.dialect.worker);
+    if (const auto load = parse_worker_load(header_value(r, n.dialect.load))) {
         p.running = (*load)[0];
         p.slots = (*load)[2];
     }
--- a/src/node/http_func.cpp
+++ b/src/node/http_func.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void guard_path(tcp::socket& s, bool on)
+void set_path_timeouts(tcp::socket& s, bool on)
 {
     constexpr int unsent_ms = 1500; // three sends at the usual first timeouts
     constexpr int idle_s = 1;       // until the first keep-alive probe
@@ -50,7 +50,8 @@
     ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &bound, sizeof(bound));
 }
 
-std::unique_ptr<http_link> take_idle(link_pool& pool, mono_us idle_since)
+std::unique_ptr<http_connection> take_idle_connection(connection_pool& pool,
+                                                      mono_us idle_since)
 {
     while (!pool.empty()) {
         auto link = std::move(pool.back());
@@ -65,19 +66,20 @@
     return nullptr;
 }
 
-void give_back(link_pool& pool, std::unique_ptr<http_link> link,
-               std::size_t most, mono_us now)
+void return_connection(connection_pool& pool,
+                       std::unique_ptr<http_connection> link, std::size_t most,
+                       mono_us now)
 {
     if (pool.size() >= most)
         return;
-    guard_path(link->stream.socket(), false);
+    set_path_timeouts(link->stream.socket(), false);
     link->last_used = now;
     link->used = true;
     link->stream.expires_never();
     pool.push_back(std::move(link));
 }
 
-bool is_clean(const http_link& link, bool keep_alive)
+bool is_reusable(const http_connection& link, bool keep_alive)
 {
     return keep_alive && link.buf.size() == 0;
 }
@@ -86,11 +88,11 @@
 {
     for (const auto name : connection_fields)
         f.erase(name);
-    f.erase(hop_name);
+    f.erase(hop_header);
 }
 
-beast::error_code read_held(http_link& link, response_parser& parser,
-                            std::size_t hold, const yield& y)
+beast::error_code read_buffered(http_connection& link, response_parser& parser,
+                                std::size_t hold, const yield& y)
 {
     beast::error_code ec;
     http::async_read_header(link.stream, link.buf, parser, y[ec]);
@@ -99,7 +101,7 @@
     return ec;
 }
 
-bool relay_answer(http_link& from, response_parser& parser,
+bool relay_answer(http_connection& from, response_parser& parser,
                   http::response_header<> head, beast::tcp_stream& to,
                   span_us idle_bound, const yield& y)
 {
--- a/src/node/http_type.hpp
+++ b/src/node/http_type.hpp
@@ -50,9 +50,9 @@
 inline constexpr char allowance_path[] = "/.jasminetray/leave";
 
 /// A connection that carries one request at a time.
-struct http_link
+struct http_connection
 {
-    explicit http_link(asio::io_context& ctx) : stream(ctx)
+    explicit http_connection(asio::io_context& ctx) : stream(ctx)
     {
     }
 
@@ -64,6 +64,6 @@
 
 /// Idle connections to one place. Invariant: each ended its last exchange
 /// completely, with no unread bytes.
-using link_pool = std::vector<std::unique_ptr<http_link>>;
+using connection_pool = std::vector<std::unique_ptr<http_connection>>;
 
 } // namespace jasminetray
--- a/src/node/key_claim.cpp
+++ b/src/node/key_claim.cpp
@@ -54,9 +54,10 @@
 
 } // namespace
 
-std::optional<refusal> settle_key(node_state& n, entry_run& r, const yield& y)
+std::optional<refusal> apply_idempotency_key(node_state& n, entry_request& r,
+                                             const yield& y)
 {
-    const auto key = field_of(r.message, caller_field::key);
+    const auto key = header_value(r.message, caller_field::key);
     if (key.empty() || r.machine.policy.idempotent ||
         r.route->keys == key_mode::none)
         return std::nullopt;
--- a/src/node/key_claim.hpp
+++ b/src/node/key_claim.hpp
@@ -6,6 +6,7 @@
 namespace jasminetray {
 
 /// What a request's idempotency key demands before its first attempt.
-std::optional<refusal> settle_key(node_state& n, entry_run& r, const yield& y);
+std::optional<refusal> apply_idempotency_key(node_state& n, entry_request& r,
+                                             const yield& y);
 
 } // namespace jasminetray
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -442,8 +442,8 @@
     if (p.settings_file.changed())
         reload_settings(p.settings, n);
     forget_idle_allowances(n.teams, local_limit_policy(), now);
-    forget_idle_allowances(n.allowances, allowance_policy_of(n), now);
-    forget_idle_allowances(n.own_parts, allowance_policy_of(n), now);
+    forget_idle_allowances(n.allowances, make_allowance_policy(n), now);
+    forget_idle_allowances(n.own_parts, make_allowance_policy(n), now);
     quarantine_expire(n.quarantine, uptime_now());
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
@@ -481,8 +481,8 @@
         const auto now = mono_now();
         tick_gate(p.state, now);
         evaluate_workers(p.state, now);
-        tick_paths(p.state, now);
-        tick_freshness(p.state);
+        probe_avoided_paths(p.state, now);
+        log_freshness_change(p.state);
         tick_quarantine(p.state);
         if (is_hosted(p.settings)) {
             tick_hosted_worker(p.state, now);
@@ -513,7 +513,7 @@
     p.stop_at = now + stop_bound_of(p.settings);
     p.state.refuse_at = p.close_at;
     p.state.last_answer_at = p.stop_at - answer_margin;
-    shorten_requests(p.state);
+    shorten_deadlines(p.state);
     publish_self(p.state);
     p.slow_state->leave();
 }
@@ -566,7 +566,7 @@
     accept_on(p, p.admin, serve_admin);
     if (is_hosted(s)) {
         p.state.dialect = make_platform_dialect();
-        use_hosted_policies(p.state);
+        apply_hosted_policies(p.state);
         accept_on(p, p.hosted_control, serve_platform);
         accept_on(p, p.hosted_ready, serve_platform);
     }
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -49,10 +49,10 @@
     mono_us announced_at = 0;  ///< last announcement
     worker_health health;
     verdict_policy policy;
-    link_pool idle;
+    connection_pool idle;
     /// Connections with work on them. Invariant: each lives until its work's
     /// coroutine has taken it out again.
-    std::set<http_link*> busy;
+    std::set<http_connection*> busy;
     std::uint64_t next_key = 0; ///< of outstanding work, for the evidence
     int published = 0;          ///< severity in the node's record
     load_report told;           ///< to the data centre, last
@@ -104,7 +104,7 @@
     int missed = 0;                        ///< probes without an answer
 };
 
-struct entry_run;
+struct entry_request;
 
 /// What the request thread asks the slow state to do.
 struct control_hooks
@@ -159,7 +159,7 @@
     bool stopping = false;          ///< doors are closing
     mono_us refuse_at = mono_never; ///< stopping: new requests come too late
     mono_us last_answer_at = mono_never; ///< stopping: all must have theirs
-    std::set<entry_run*> open_runs;      ///< requests without a final answer
+    std::set<entry_request*> open_runs;  ///< requests without a final answer
     freshness fresh;                     ///< of the configuration in force
     bool proven = true;                  ///< it is fresh enough; for the log
     mono_us members_changed_at = 0;      ///< a node came, went or died
@@ -195,7 +195,7 @@
     place_policy placing;
     load_news_policy load_news;
     mono_us call_failed_at = 0; ///< newest failure that was said to a caller
-    std::unordered_map<node_id, link_pool> exits;
+    std::unordered_map<node_id, connection_pool> exits;
     std::unordered_map<std::string, retry_budget> budgets;
     std::unordered_map<std::string, int> in_flight_by_service;
     int in_flight = 0;
--- a/src/node/peer_request.cpp
+++ b/src/node/peer_request.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-std::optional<std::string> exchange_messages(http_link& link, const char* path,
+std::optional<std::string> exchange_messages(http_connection& link,
+                                             const char* path,
                                              const std::string& text,
                                              mono_us deadline, const yield& y)
 {
     http::request<http::empty_body> q(http::verb::get, path, 11);
-    q.set(hop_name, text);
+    q.set(hop_header, text);
     q.keep_alive(true);
     link.stream.expires_after(
         std::chrono::microseconds(std::max<span_us>(1, deadline - mono_now())));
@@ -24,7 +25,7 @@
         http::async_read(link.stream, link.buf, m, y[ec]);
     if (ec)
         return std::nullopt;
-    return field_of(m, hop_name);
+    return header_value(m, hop_header);
 }
 
 } // namespace
@@ -34,7 +35,8 @@
                   const char* path, const std::function<std::string()>& text,
                   mono_us deadline, const yield& y)
 {
-    auto link = take_idle(n.exits[to], mono_now() - keep_exit_idle);
+    auto link =
+        take_idle_connection(n.exits[to], mono_now() - exit_idle_timeout);
     auto answer = link ? exchange_messages(*link, path, text(), deadline, y)
                        : std::nullopt;
     if (!answer && mono_now() < deadline) {
@@ -43,7 +45,8 @@
                       : std::nullopt;
     }
     if (answer)
-        give_back(n.exits[to], std::move(link), max_exit_idle, mono_now());
+        return_connection(n.exits[to], std::move(link),
+                          max_idle_exit_connections, mono_now());
     return answer;
 }
 
@@ -52,7 +55,7 @@
 {
     string_response r(http::status::no_content, 11);
     if (!text.empty())
-        r.set(hop_name, text);
+        r.set(hop_header, text);
     r.keep_alive(true);
     beast::error_code ec;
     http::async_write(to, r, y[ec]);
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -84,8 +84,8 @@
 
 fingerprint fingerprint_of(const node_state& n, const string_request& m)
 {
-    const auto team = field_of(m, beast_text(n.dialect.team));
-    const auto host = field_of(m, "host");
+    const auto team = header_value(m, to_beast_view(n.dialect.team));
+    const auto host = header_value(m, "host");
     const auto method = m.method_string();
     const auto target = m.target();
     return fingerprint_of({team,
--- a/src/node/worker_request.cpp
+++ b/src/node/worker_request.cpp
@@ -26,14 +26,15 @@
 /// Returns an idle or a new connection to a backend server. Non-idempotent work
 /// gets only a recently used one: it can't be sent again when a stale
 /// connection turns out to be closed.
-std::unique_ptr<http_link> connect_worker(node_state& n, local_worker& w,
-                                          const gate_request& r, const yield& y)
+std::unique_ptr<http_connection> connect_worker(node_state& n, local_worker& w,
+                                                const gate_request& r,
+                                                const yield& y)
 {
     const auto now = mono_now();
     const auto since = now - (r.idempotent ? max_idle_age : n.settings.quiet);
-    if (auto link = take_idle(w.idle, since))
+    if (auto link = take_idle_connection(w.idle, since))
         return link;
-    auto link = std::make_unique<http_link>(n.ctx);
+    auto link = std::make_unique<http_connection>(n.ctx);
     const auto at = w.at;
     link->stream.expires_after(std::chrono::microseconds(
         std::min(connect_timeout, std::max<span_us>(1, r.deadline - now))));
@@ -54,11 +55,11 @@
     strip_hop_fields(q);
     q.version(11);
     q.keep_alive(true);
-    if (!d.callers_id)
-        q.set(beast_text(d.request), to_text(r.attempt));
+    if (!d.preserve_request_id)
+        q.set(to_beast_view(d.request), to_text(r.attempt));
     if (!d.expected_worker.empty())
-        q.set(beast_text(d.expected_worker), w.name);
-    q.set(beast_text(d.deadline),
+        q.set(to_beast_view(d.expected_worker), w.name);
+    q.set(to_beast_view(d.deadline),
           std::to_string(std::max<span_us>(0, r.deadline - now) / us_per_ms));
     q.prepare_payload();
     return q;
@@ -67,12 +68,12 @@
 /// Cancels `link` when the entry node's connection closes.
 struct caller_watch
 {
-    http_link* link = nullptr; ///< null when the work has ended
+    http_connection* link = nullptr; ///< null when the work has ended
     bool left = false;
 };
 
 std::shared_ptr<caller_watch> watch_caller(beast::tcp_stream& entry,
-                                           http_link& link)
+                                           http_connection& link)
 {
     auto watch = std::make_shared<caller_watch>();
     watch->link = &link;
@@ -121,7 +122,7 @@
 {
     expected_answer f;
     f.worker = w.name;
-    f.echo = field_of(sent, beast_text(n.dialect.request));
+    f.echo = header_value(sent, to_beast_view(n.dialect.request));
     const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
     f.echo_required = c == nullptr || c->echo_required;
     return f;
@@ -132,7 +133,7 @@
 {
     if (!n.safeguards.check_echo)
         return true;
-    const auto echo = field_of(p.get(), beast_text(n.dialect.request));
+    const auto echo = header_value(p.get(), to_beast_view(n.dialect.request));
     return echo.empty() ? !f.echo_required : echo == f.echo;
 }
 
@@ -141,7 +142,7 @@
 bool reports_not_run(const node_state& n, const expected_answer& f,
                      const http::response_header<>& head)
 {
-    const auto echo = field_of(head, beast_text(n.dialect.request));
+    const auto echo = header_value(head, to_beast_view(n.dialect.request));
     if (!echo.empty() && echo != f.echo)
         return false;
     const auto status = head.result_int();
@@ -150,7 +151,8 @@
     constexpr unsigned misdirected = 421;
     if (!n.dialect.expected_worker.empty() && status == misdirected)
         return true;
-    const auto not_run_value = field_of(head, beast_text(n.dialect.not_run));
+    const auto not_run_value =
+        header_value(head, to_beast_view(n.dialect.not_run));
     return not_run_value == "1" &&
            (status == unavailable || status == too_many);
 }
@@ -158,9 +160,10 @@
 /// Guards against answers that an intermediary made or recoded.
 bool has_origin_proof(const node_state& n, const http::response_header<>& head)
 {
-    if (n.dialect.proof.empty())
+    if (n.dialect.response_seal.empty())
         return true;
-    return !field_of(head, beast_text(n.dialect.proof)).empty() &&
+    return !header_value(head, to_beast_view(n.dialect.response_seal))
+                .empty() &&
            head.count(http::field::content_encoding) == 0;
 }
 
@@ -196,9 +199,10 @@
         a.result = work_result::lost;
         a.outcome = outcome_kind::failed;
         a.reason = "echo-mismatch";
-        n.events.write(event_id::echo_mismatch, to_text(r.attempt),
-                       "worker=" + f.worker + " expected=" + f.echo + " got=" +
-                           field_of(head, beast_text(n.dialect.request)));
+        n.events.write(
+            event_id::echo_mismatch, to_text(r.attempt),
+            "worker=" + f.worker + " expected=" + f.echo +
+                " got=" + header_value(head, to_beast_view(n.dialect.request)));
         return;
     }
     a.result = work_result::answered;
@@ -225,8 +229,8 @@
         a.parser = std::make_unique<response_parser>();
         a.parser->body_limit(boost::none);
         a.parser->skip(head_only);
-        ec = read_held(*a.link, *a.parser,
-                       static_cast<std::size_t>(n.settings.hold_bytes), y);
+        ec = read_buffered(*a.link, *a.parser,
+                           static_cast<std::size_t>(n.settings.hold_bytes), y);
         const bool duplicate = !ec && a.link->used && a.parser->is_done() &&
                                a.parser->keep_alive() &&
                                !reports_not_run(n, f, a.parser->get()) &&
@@ -331,10 +335,10 @@
         n, it->second, a.evidence_key,
         {a.outcome, now - a.started_at, a.source, a.route_class}, now);
     const bool keep =
-        whole && a.parser->keep_alive() && is_clean(*a.link, true);
+        whole && a.parser->keep_alive() && is_reusable(*a.link, true);
     if (a.link && (keep || !n.safeguards.close_unclean))
-        give_back(it->second.idle, std::move(a.link), max_idle_connections,
-                  now);
+        return_connection(it->second.idle, std::move(a.link),
+                          max_idle_connections, now);
 }
 
 } // namespace jasminetray
--- a/src/node/worker_request.hpp
+++ b/src/node/worker_request.hpp
@@ -12,7 +12,7 @@
     outcome_kind outcome = outcome_kind::neutral; ///< for outlier detection
     std::string reason; ///< why there is no answer; else empty
     bool closed_by_worker = false;
-    std::unique_ptr<http_link> link;
+    std::unique_ptr<http_connection> link;
     std::unique_ptr<response_parser> parser; ///< holds what has been read
     std::uint64_t evidence_key = 0; ///< outstanding request's, in its health
     mono_us started_at = 0;
--- a/test/test_hop.cpp
+++ b/test/test_hop.cpp
@@ -82,7 +82,7 @@
 TEST(dialect, the_platforms_names_are_all_set)
 {
     const auto d = make_platform_dialect();
-    EXPECT_TRUE(d.callers_id);
+    EXPECT_TRUE(d.preserve_request_id);
     EXPECT_FALSE(d.explain);
     for (const auto name : {d.request, d.deadline, d.not_run, d.load, d.worker,
                             d.expected_worker, d.caller_service, d.proof})
--- a/test/test_stop.cpp
+++ b/test/test_stop.cpp
@@ -212,7 +212,7 @@
 {
     shorten_notice s;
     s.remaining = grace;
-    for (std::uint64_t k = 1; k <= max_shortened; ++k)
+    for (std::uint64_t k = 1; k <= max_shortened_attempts; ++k)
         s.attempts.push_back({{static_cast<node_id>(UINT64_MAX), k}, 2});
     const auto text = to_text(s);
     EXPECT_LT(text.size(), 4096U); // fits the head of one hop message
--- a/test/test_team.cpp
+++ b/test/test_team.cpp
@@ -269,15 +269,15 @@
 
 TEST(allowance_of_teams, the_question_crosses_between_nodes)
 {
-    const allowance_ask a{0xfeedULL, {9, 12.5, 3}, 70000, true};
-    const auto b = parse_allowance_ask(to_text(a));
+    const allowance_request a{0xfeedULL, {9, 12.5, 3}, 70000, true};
+    const auto b = parse_allowance_request(to_text(a));
     ASSERT_TRUE(b);
     EXPECT_EQ(b->team, a.team);
     EXPECT_EQ(b->limit.version, 9U);
     EXPECT_EQ(b->limit.rate, 12.5);
     EXPECT_EQ(b->limit.burst, 3);
-    EXPECT_EQ(b->patience, 70000);
-    EXPECT_TRUE(b->passed_on);
+    EXPECT_EQ(b->max_wait, 70000);
+    EXPECT_TRUE(b->forwarded);
     const auto r =
         parse_allowance_answer(to_text(allowance_answer{false, 40000}));
     ASSERT_TRUE(r);
@@ -285,7 +285,7 @@
     EXPECT_EQ(r->wait, 40000);
     for (const auto* wrong :
          {"", "a", "a,1", "z,1,2,3,4,5", "y", "q,1", "y,g"}) {
-        EXPECT_FALSE(parse_allowance_ask(wrong)) << wrong;
+        EXPECT_FALSE(parse_allowance_request(wrong)) << wrong;
         EXPECT_FALSE(parse_allowance_answer(wrong)) << wrong;
     }
 }
