--- a/src/node/caller_read.cpp
+++ b/src/node/caller_read.cpp
@@ -1,4 +1,4 @@
-// Reading requests; see caller_read.hpp.
+// Reads and checks requests of callers.
 #include "node/caller_read.hpp"
 
 #include "base/text_func.hpp"
@@ -11,7 +11,7 @@
 
 using request_parser = http::request_parser<http::string_body>;
 
-constexpr span_us body_bound = 30 * us_per_s; // for a body to arrive
+constexpr span_us body_timeout = 30 * us_per_s;
 
 refusal bad_request(http::status status, const char* reason)
 {
@@ -22,25 +22,25 @@
     return x;
 }
 
-/// Refusal of what could not be read; nothing when the caller has gone.
-std::optional<refusal> refuse_unread(const beast::error_code& ec)
+/// Returns the refusal for a read error; nothing when the caller disconnected.
+std::optional<refusal> read_error_refusal(const beast::error_code& ec)
 {
     if (ec == http::error::header_limit)
         return bad_request(http::status::request_header_fields_too_large,
                            "head-too-large");
     if (ec == http::error::body_limit)
         return bad_request(http::status::payload_too_large, "body-too-large");
-    const auto& of_parser =
+    const auto& parser_category =
         http::make_error_code(http::error::bad_method).category();
-    if (ec.category() == of_parser && ec != http::error::end_of_stream &&
+    if (ec.category() == parser_category && ec != http::error::end_of_stream &&
         ec != http::error::partial_message)
         return bad_request(http::status::bad_request, "malformed");
     return std::nullopt;
 }
 
-/// A coding other than chunked hides where the body ends: what follows
-/// would be read as another request that nobody sent.
-bool is_framed(const http::request_header<>& head)
+/// Returns whether the end of the body is unambiguous. Transfer codings other
+/// than chunked are rejected to prevent request smuggling.
+bool has_valid_framing(const http::request_header<>& head)
 {
     const auto range = head.equal_range(http::field::transfer_encoding);
     if (range.first == range.second)
@@ -50,8 +50,8 @@
            head.version() == 11;
 }
 
-/// "http://host/path" means the same as "/path" with that host.
-void use_origin_form(string_request& m)
+/// Converts an absolute-form target (http://host/path) to origin form.
+void to_origin_form(string_request& m)
 {
     constexpr std::string_view scheme = "http://";
     const std::string target(m.target());
@@ -63,73 +63,71 @@
     m.target(slash == std::string::npos ? "/" : target.substr(slash));
 }
 
-/// Bounds a step by cancelling it. The stream's own timer would close the
-/// connection, and the caller would never learn why.
-class step_bound
+/// Limits the time of a read step by cancelling it. The stream's own timer
+/// would close the connection before a refusal could be sent.
+class step_timeout
 {
 public:
-    step_bound(beast::tcp_stream& stream, span_us bound)
+    step_timeout(beast::tcp_stream& stream, span_us timeout)
         : timer_(stream.get_executor()), state_(std::make_shared<state>())
     {
-        timer_.expires_after(std::chrono::microseconds(bound));
+        timer_.expires_after(std::chrono::microseconds(timeout));
         timer_.async_wait([&stream, s = state_](beast::error_code ec) {
-            // The stream may be gone once the step has ended.
+            // The stream may be destroyed once the step has ended.
             if (ec || s->ended)
                 return;
-            s->passed = true;
+            s->expired = true;
             stream.cancel();
         });
     }
 
-    ~step_bound()
+    ~step_timeout()
     {
         state_->ended = true;
     }
 
-    step_bound(const step_bound&) = delete;
-    step_bound& operator=(const step_bound&) = delete;
+    step_timeout(const step_timeout&) = delete;
+    step_timeout& operator=(const step_timeout&) = delete;
 
-    /// Whether the time was over before the step was.
-    bool passed() const
+    bool expired() const
     {
-        return state_->passed;
+        return state_->expired;
     }
 
 private:
     struct state
     {
         bool ended = false;
-        bool passed = false;
+        bool expired = false;
     };
 
     asio::steady_timer timer_;
     std::shared_ptr<state> state_;
 };
 
-/// Waits for the first byte of a request.
-bool wait_first(beast::tcp_stream& stream, const beast::flat_buffer& buf,
-                span_us bound, const yield& y)
+bool wait_for_request(beast::tcp_stream& stream, const beast::flat_buffer& buf,
+                      span_us timeout, const yield& y)
 {
     if (buf.size() > 0)
         return true;
-    const step_bound timer(stream, bound);
+    const step_timeout timer(stream, timeout);
     beast::error_code ec;
     stream.socket().async_wait(tcp::socket::wait_read, y[ec]);
     return !ec;
 }
 
-/// A caller that waits for leave to send its body gets it.
-void say_continue(beast::tcp_stream& stream, const http::request_header<>& m,
-                  beast::error_code& ec, const yield& y)
+/// Sends "100 Continue" when the caller expects it.
+void send_continue(beast::tcp_stream& stream, const http::request_header<>& m,
+                   beast::error_code& ec, const yield& y)
 {
     if (!beast::iequals(m[http::field::expect], "100-continue"))
         return;
-    http::response<http::empty_body> go_on(http::status::continue_, 11);
-    http::async_write(stream, go_on, y[ec]);
+    http::response<http::empty_body> response(http::status::continue_, 11);
+    http::async_write(stream, response, y[ec]);
 }
 
-/// Whether much of the body is still to come. A short one is read first, so
-/// that the caller's connection can go on after a refusal.
+/// Returns whether the unread body is long. A short one is read before a
+/// refusal, so that the connection can be reused.
 bool is_body_long(const request_parser& parser)
 {
     constexpr std::uint64_t long_body = 16384;
@@ -139,21 +137,21 @@
 
 std::optional<refusal> read_head(const node_state& n, beast::tcp_stream& stream,
                                  beast::flat_buffer& buf,
-                                 request_parser& parser, span_us bound,
+                                 request_parser& parser, span_us timeout,
                                  beast::error_code& ec, const yield& y)
 {
-    const step_bound timer(stream, bound);
+    const step_timeout timer(stream, timeout);
     http::async_read_header(stream, buf, parser, y[ec]);
-    if (timer.passed())
+    if (timer.expired())
         return bad_request(http::status::request_timeout, "slow-head");
-    if (!ec && !is_framed(parser.get()))
+    if (!ec && !has_valid_framing(parser.get()))
         return bad_request(http::status::bad_request, "unknown-coding");
     if (!ec && is_body_long(parser)) {
         if (auto refused = check_request_head(n, parser.get()))
             return refused;
     }
     if (!ec)
-        say_continue(stream, parser.get(), ec, y);
+        send_continue(stream, parser.get(), ec, y);
     return std::nullopt;
 }
 
@@ -164,21 +162,21 @@
 {
     if (parser.is_done())
         return std::nullopt;
-    const step_bound timer(stream, body_bound);
+    const step_timeout timer(stream, body_timeout);
     http::async_read(stream, buf, parser, y[ec]);
-    if (timer.passed())
+    if (timer.expired())
         return bad_request(http::status::request_timeout, "slow-body");
     return std::nullopt;
 }
 
 } // namespace
 
-caller_read read_caller(node_state& n, beast::tcp_stream& stream,
+read_result read_caller(node_state& n, beast::tcp_stream& stream,
                         beast::flat_buffer& buf, const yield& y)
 {
-    caller_read r;
+    read_result r;
     const auto limits = n.config ? n.config->limits : caller_limits{};
-    if (!wait_first(stream, buf, limits.idle_us, y))
+    if (!wait_for_request(stream, buf, limits.idle_us, y))
         return r;
     request_parser parser;
     parser.header_limit(static_cast<std::uint32_t>(
@@ -192,11 +190,11 @@
     if (r.refused)
         return r;
     if (ec) {
-        r.refused = refuse_unread(ec);
+        r.refused = read_error_refusal(ec);
         return r;
     }
     r.message = parser.release();
-    use_origin_form(*r.message);
+    to_origin_form(*r.message);
     return r;
 }
 
--- a/src/node/caller_read.hpp
+++ b/src/node/caller_read.hpp
@@ -1,26 +1,27 @@
-// Reading one request off a caller's connection, within the limits in force.
-// Everything after the first byte that cannot be understood is somebody
-// else's request to a naive reader; so the connection ends there.
+// Reads requests from a caller's connection within the configured limits. The
+// connection closes after a parse error, as framing is lost from there on and
+// the remaining bytes could pass for another request.
 #pragma once
 
 #include "node/entry_refusal.hpp"
 
 namespace jasminetray {
 
-/// What came of reading.
-struct caller_read
+/// Result of reading; both are empty when the caller disconnected.
+struct read_result
 {
-    std::optional<string_request> message; ///< nothing when none is whole
-    std::optional<refusal> refused;        ///< to be said, then close
+    std::optional<string_request> message; ///< a complete request
+    std::optional<refusal> refused;        ///< sent before closing
 };
 
 /// Reads the next request.
-/// @param n limits of its configuration in force
-/// @param buf bytes that were read and not used yet
-caller_read read_caller(node_state& n, beast::tcp_stream& stream,
+/// @param n provides the limits of the configuration in force
+/// @param buf bytes read but not parsed yet
+read_result read_caller(node_state& n, beast::tcp_stream& stream,
                         beast::flat_buffer& buf, const yield& y);
 
-/// Removes fields of one connection only, also those that it names itself.
+/// Removes hop-by-hop header fields, including those that the Connection field
+/// lists.
 void strip_connection_fields(http::fields& f);
 
 } // namespace jasminetray
--- a/src/node/dialect_type.hpp
+++ b/src/node/dialect_type.hpp
@@ -1,36 +1,33 @@
-// How the callers and backend servers of a deployment name things in HTTP
-// headers. The product has names of its own; an adapter brings others. Both
-// sides of a node use whichever is in force, and know no name themselves.
+// Names of the HTTP header fields that callers and backend servers use. The
+// defaults are the product's own; a platform adapter replaces them.
 #pragma once
 
 #include <string_view>
 
 namespace jasminetray {
 
-/// Names of header fields; an empty one is not used.
+/// Names of header fields; an empty name disables the field.
 struct http_dialect
 {
-    /// Id of a request, which a backend server echoes in its answer.
+    /// Request id, which a backend server echoes in its answer.
     std::string_view request = "x-request-id";
-    /// The id above is the caller's own and passes through; else each
-    /// attempt gets one of the node's.
+    /// Forwards the caller's request id; else the node sets one per attempt.
     bool preserve_request_id = false;
     std::string_view deadline = "x-deadline-ms"; ///< remaining milliseconds
-    std::string_view not_run = "x-shed"; ///< answer to work that did not run
+    std::string_view not_run = "x-shed"; ///< marks answers without execution
     std::string_view load;               ///< "running,waiting,slots"
-    std::string_view worker;             ///< process that gave an answer
+    std::string_view worker;             ///< process that answered
     std::string_view expected_worker;    ///< process that must run the work
-    std::string_view caller_service;     ///< service of the VM of the caller
-    /// Key by which a caller shows its team; no node passes it on.
+    std::string_view caller_service;     ///< service hosted on the caller's VM
+    /// API key that authenticates a team; never forwarded.
     std::string_view team_key = "x-team-key";
-    /// Name of the team: set by entry nodes where teams have keys, else what
-    /// the caller says.
+    /// Team's name: set by entry nodes where keys are required, else by
+    /// callers.
     std::string_view team = "x-team";
-    /// Present on whole answers that a backend server made; a success
-    /// without it is none.
-    std::string_view proof;
-    /// Refusals and answers tell callers what was decided, in fields of the
-    /// product's own.
+    /// Present on all genuine answers of backend servers; a success without it
+    /// is treated as a failure.
+    std::string_view response_seal;
+    /// Adds the product's own fields to refusals and answers.
     bool explain = true;
 };
 
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -1,4 +1,4 @@
-// Attempts of the entry side over the network; see entry_request.hpp.
+// Network I/O of attempts: connections, pings, messages and answers.
 #include "base/text_func.hpp"
 #include "node/entry_run.hpp"
 #include "node/http_func.hpp"
@@ -8,19 +8,19 @@
 
 namespace {
 
-constexpr span_us connect_bound = 250 * us_per_ms;
-constexpr span_us ping_bound = 100 * us_per_ms;
-constexpr span_us revoke_bound = 80 * us_per_ms;
+constexpr span_us connect_timeout = 250 * us_per_ms;
+constexpr span_us ping_timeout = 100 * us_per_ms;
+constexpr span_us revoke_timeout = 80 * us_per_ms;
 
-/// What an attempt came to, before it is told to the machine.
-struct try_result
+/// Result of an attempt.
+struct attempt_result
 {
     attempt_event_kind kind{};
     std::string reason;
-    bool reached = false; ///< not-run: a backend server turned it away
+    bool reached = false; ///< not-run: a backend server rejected it
 };
 
-void take_stamp(node_state& n, node_id exit, const hop_answer& a)
+void update_stamp(node_state& n, node_id exit, const hop_answer& a)
 {
     const auto it = n.view.nodes.find(exit);
     if (it == n.view.nodes.end())
@@ -30,7 +30,7 @@
     v.good_at = now;
     if (a.boot == boot_id{})
         return;
-    // Stamps of one process only move forward; another process starts anew.
+    // Stamps of one process are monotonic; a new process starts its own.
     if (v.stamp_boot != a.boot || a.stamp > v.stamp) {
         v.stamp_boot = a.boot;
         v.stamp = a.stamp;
@@ -38,47 +38,50 @@
     }
 }
 
-void take_claim(node_state& n, const entry_request& r, const entry_attempt& t,
-                const hop_answer& a)
+void update_candidate(node_state& n, const entry_request& r,
+                      const entry_attempt& t, const hop_answer& a)
 {
     const auto it = n.view.services.find(r.service_key);
     auto* c = view_candidate(n.view, r.service_key, t.worker);
     if (c == nullptr || it == n.view.services.end())
         return;
     const auto now = mono_now();
-    view_take_load(
-        *c, {t.worker, r.service_key, a.load, a.work, a.doubt, a.suspect}, now);
-    const auto place =
+    view_take_load(*c,
+                   {t.worker, r.service_key, a.load, a.baseline_work,
+                    a.failure_percent, a.suspect},
+                   now);
+    const auto index =
         static_cast<std::size_t>(c - it->second.candidates.data());
-    auto& spoken = it->second.spoken[place];
-    // A verdict acts on the next request, not when gossip brings it.
+    auto& spoken = it->second.spoken[index];
+    // Applies a changed ejection request at once; gossip would delay it.
     const bool moved = spoken.severity / 25 != a.severity / 25;
     spoken = {a.severity, now};
     if (moved && r.service != nullptr)
         view_apply(n.view, r.service_key, *r.service, n.paths, now);
 }
 
-/// Proves a connection and fetches a fresh stamp.
-bool ping(node_state& n, http_connection& link, node_id exit, const yield& y)
+/// Checks a connection with a round trip, and fetches a fresh stamp.
+bool ping(node_state& n, http_connection& connection, node_id exit,
+          const yield& y)
 {
     http::request<http::empty_body> q(http::verb::get, ping_path, 11);
     q.keep_alive(true);
-    link.stream.expires_after(std::chrono::microseconds(ping_bound));
+    connection.stream.expires_after(std::chrono::microseconds(ping_timeout));
     beast::error_code ec;
-    http::async_write(link.stream, q, y[ec]);
+    http::async_write(connection.stream, q, y[ec]);
     if (ec)
         return false;
     string_response r;
-    http::async_read(link.stream, link.buf, r, y[ec]);
+    http::async_read(connection.stream, connection.buf, r, y[ec]);
     if (ec)
         return false;
     const auto a = parse_hop_answer(header_value(r, hop_header));
     if (a)
-        take_stamp(n, exit, *a);
+        update_stamp(n, exit, *a);
     return a.has_value();
 }
 
-bool needs_ping(const entry_request& r, const http_connection& link,
+bool needs_ping(const entry_request& r, const http_connection& connection,
                 node_id exit)
 {
     if (r.machine.policy.idempotent)
@@ -88,31 +91,35 @@
     const bool stale = it == r.n.view.nodes.end() ||
                        it->second.stamp_boot != it->second.record.boot ||
                        now - it->second.stamp_at > r.n.settings.quiet;
-    return stale || (link.used && now - link.last_used > r.n.settings.quiet);
+    return stale ||
+           (connection.used && now - connection.last_used > r.n.settings.quiet);
 }
 
-/// A connection that is fit for this work, or nothing.
-std::unique_ptr<http_connection> open_link(entry_request& r, entry_attempt& t,
-                                           bool fresh, const yield& y)
+/// Returns an idle or new connection that is safe for this request, or null.
+std::unique_ptr<http_connection> open_connection(entry_request& r,
+                                                 entry_attempt& t,
+                                                 bool new_connection,
+                                                 const yield& y)
 {
     auto& n = r.n;
-    if (!fresh) {
-        auto link = take_idle_connection(n.exits[t.exit],
-                                         mono_now() - exit_idle_timeout);
-        // A connection that was quiet may have been forgotten by something
-        // in between; non-idempotent work is not the way to find out.
-        if (link &&
-            (!needs_ping(r, *link, t.exit) || ping(n, *link, t.exit, y)))
-            return link;
+    if (!new_connection) {
+        auto connection = take_idle_connection(n.exits[t.exit],
+                                               mono_now() - exit_idle_timeout);
+        // A middlebox may have dropped an idle connection; a ping finds out
+        // without risking non-idempotent work.
+        if (connection && (!needs_ping(r, *connection, t.exit) ||
+                           ping(n, *connection, t.exit, y)))
+            return connection;
     }
-    auto link = connect_exit(n, t.address, r.machine.deadline, y);
-    if (link && needs_ping(r, *link, t.exit) && !ping(n, *link, t.exit, y))
-        link = nullptr;
-    return link;
+    auto connection = connect_exit(n, t.address, r.machine.deadline, y);
+    if (connection && needs_ping(r, *connection, t.exit) &&
+        !ping(n, *connection, t.exit, y))
+        connection = nullptr;
+    return connection;
 }
 
-string_request make_message(const entry_request& r, const entry_attempt& t,
-                            std::uint32_t count)
+string_request make_hop_message(const entry_request& r, const entry_attempt& t,
+                                std::uint32_t count)
 {
     const auto& n = r.n;
     string_request q = r.message;
@@ -127,14 +134,14 @@
     h.worker = t.worker;
     h.idempotent = r.machine.policy.idempotent;
     h.may_probe = r.may_probe;
-    h.last_resort = r.resort;
-    h.leaving = r.machine.deadline >= n.last_answer_at;
+    h.last_resort = r.is_fallback;
+    h.entry_stopping = r.machine.deadline >= n.last_answer_at;
     h.priority = r.priority;
     h.route_class = r.route_class;
     h.centre = static_cast<std::uint32_t>(n.self.centre);
     const auto now = mono_now();
     h.remaining = r.machine.deadline - now;
-    h.elapsed = now - r.began;
+    h.elapsed = now - r.received_at;
     h.target = r.route->target_us;
     h.boot = t.boot;
     h.stamp = known ? it->second.stamp : 0;
@@ -143,9 +150,9 @@
     return q;
 }
 
-/// Turns the exit node's answer into an event.
-try_result read_outcome(const entry_request& r, entry_attempt& t,
-                        std::uint32_t count, const hop_answer& a)
+/// Maps the exit node's answer to an event of the state machine.
+attempt_result classify_answer(const entry_request& r, entry_attempt& t,
+                               std::uint32_t count, const hop_answer& a)
 {
     if (r.n.safeguards.check_echo &&
         a.echo != attempt_echo(attempt_id{r.id, count})) {
@@ -153,7 +160,7 @@
                          "exit=" + to_hex(static_cast<std::uint64_t>(t.exit)));
         return {attempt_event_kind::lost, "echo-mismatch"};
     }
-    t.retry_after = a.retry;
+    t.retry_after = a.retry_after;
     switch (a.outcome) {
     case hop_outcome::answer: {
         const bool again =
@@ -172,26 +179,28 @@
     return {attempt_event_kind::unknown, a.reason};
 }
 
-/// Sends an attempt and waits for its answer's held part.
-try_result run_try(entry_request& r, entry_attempt& t, std::uint32_t count,
-                   bool fresh, const yield& y)
+/// Sends an attempt and reads its answer up to the buffer limit.
+attempt_result run_attempt(entry_request& r, entry_attempt& t,
+                           std::uint32_t count, bool new_connection,
+                           const yield& y)
 {
     auto& n = r.n;
-    t.link = open_link(r, t, fresh, y);
-    if (!t.link || t.cancelled) {
+    t.connection = open_connection(r, t, new_connection, y);
+    if (!t.connection || t.cancelled) {
         if (!t.cancelled)
             record_path_result(n, t.exit, true);
         return {attempt_event_kind::unsent, "exit-unreachable"};
     }
-    // Work that must not run twice is not given up for a path that may heal:
-    // its answer can still come.
-    set_path_timeouts(t.link->stream.socket(), r.machine.policy.idempotent);
-    auto q = make_message(r, t, count);
-    // A little longer than the machine waits: it decides, not the socket.
-    t.link->stream.expires_after(std::chrono::microseconds(
+    // Non-idempotent work waits until its deadline: the path may recover and
+    // the answer still arrive.
+    set_path_timeouts(t.connection->stream.socket(),
+                      r.machine.policy.idempotent);
+    auto q = make_hop_message(r, t, count);
+    // Longer than the state machine waits, so that its timer fires first.
+    t.connection->stream.expires_after(std::chrono::microseconds(
         std::max<span_us>(0, r.machine.deadline - mono_now()) + us_per_s));
     beast::error_code ec;
-    const auto sent = http::async_write(t.link->stream, q, y[ec]);
+    const auto sent = http::async_write(t.connection->stream, q, y[ec]);
     if (ec && sent == 0)
         return {attempt_event_kind::unsent, "exit-write"};
     if (!ec) {
@@ -199,7 +208,7 @@
         t.parser->body_limit(boost::none);
         if (r.message.method() == http::verb::head)
             t.parser->skip(true);
-        ec = read_buffered(*t.link, *t.parser,
+        ec = read_buffered(*t.connection, *t.parser,
                            static_cast<std::size_t>(n.settings.hold_bytes), y);
     }
     if (ec) {
@@ -211,52 +220,57 @@
     const auto a = parse_hop_answer(header_value(t.parser->get(), hop_header));
     if (!a)
         return {attempt_event_kind::lost, "exit-malformed"};
-    take_stamp(n, t.exit, *a);
-    take_claim(n, r, t, *a);
-    return read_outcome(r, t, count, *a);
+    update_stamp(n, t.exit, *a);
+    update_candidate(n, r, t, *a);
+    return classify_answer(r, t, count, *a);
 }
 
-void release(entry_request& r, entry_attempt& t, const try_result& result)
+void finish_attempt(entry_request& r, entry_attempt& t,
+                    const attempt_result& result)
 {
     if (auto* c = view_candidate(r.n.view, r.service_key, t.worker))
         c->in_flight = std::max(0, c->in_flight - 1);
-    // An answer that is not whole goes on; the caller's coroutine owns it.
+    // The caller's coroutine owns the connection of an incomplete answer.
     const bool complete = t.parser && t.parser->is_done() && !t.cancelled;
     if (complete && result.reason != "echo-mismatch" &&
-        is_reusable(*t.link, t.parser->keep_alive())) {
-        return_connection(r.n.exits[t.exit], std::move(t.link),
+        is_reusable(*t.connection, t.parser->keep_alive())) {
+        return_connection(r.n.exits[t.exit], std::move(t.connection),
                           max_idle_exit_connections, mono_now());
     } else if (complete || t.cancelled) {
-        t.link.reset();
+        t.connection.reset();
     }
 }
 
-std::optional<choice> choose(entry_request& r)
+std::optional<choice> choose_candidate(entry_request& r)
 {
     const auto it = r.n.view.services.find(r.service_key);
     if (it == r.n.view.services.end())
         return std::nullopt;
-    const auto& all = it->second.candidates;
-    if (r.resort)
-        return place_resort(all, r.n.balance, r.tried, mono_now());
-    if (!r.home && r.n.placing.on)
-        return place(all, r.n.placing, r.n.balance,
-                     {r.may_probe, r.route->target_us}, r.tried, r.n.rng,
-                     mono_now());
-    if (!r.home)
-        return choose_worker(all, r.n.balance, r.machine.policy.idempotent,
-                             r.tried, r.n.rng, mono_now());
-    for (std::size_t k = 0; k < all.size(); ++k) {
-        if (all[k].id == *r.home && all[k].weight > 0 && r.tried.empty())
+    const auto& candidates = it->second.candidates;
+    if (r.is_fallback)
+        return place_resort(candidates, r.n.balance, r.tried_workers,
+                            mono_now());
+    if (!r.pinned_worker && r.n.placing.on)
+        return place(candidates, r.n.placing, r.n.balance,
+                     {r.may_probe, r.route->target_us}, r.tried_workers,
+                     r.n.rng, mono_now());
+    if (!r.pinned_worker)
+        return choose_worker(candidates, r.n.balance,
+                             r.machine.policy.idempotent, r.tried_workers,
+                             r.n.rng, mono_now());
+    for (std::size_t k = 0; k < candidates.size(); ++k) {
+        if (candidates[k].id == *r.pinned_worker && candidates[k].weight > 0 &&
+            r.tried_workers.empty())
             return choice{k, 0, 0};
     }
     return std::nullopt;
 }
 
-/// Fills in where an attempt goes; false when nobody is left.
-bool aim(entry_request& r, entry_attempt& t, std::uint32_t count)
+/// Selects the backend server of an attempt.
+/// @return false when no candidate is left
+bool select_target(entry_request& r, entry_attempt& t, std::uint32_t count)
 {
-    const auto c = choose(r);
+    const auto c = choose_candidate(r);
     if (!c)
         return false;
     auto& x = r.n.view.services[r.service_key].candidates[c->index];
@@ -268,7 +282,7 @@
     t.boot = node->second.record.boot;
     t.address = node->second.record.address;
     ++x.in_flight;
-    r.tried.push_back(x.id);
+    r.tried_workers.push_back(x.id);
     r.n.events.write(
         count == 1 ? event_id::request_routed : event_id::request_retried,
         r.label,
@@ -280,7 +294,7 @@
     return true;
 }
 
-void log_path(node_state& n, node_id exit, path_step step)
+void log_path_step(node_state& n, node_id exit, path_step step)
 {
     const auto subject = to_hex(static_cast<std::uint64_t>(exit));
     switch (step) {
@@ -308,22 +322,22 @@
                                               const node_address& to,
                                               mono_us deadline, const yield& y)
 {
-    auto link = std::make_unique<http_connection>(n.ctx);
+    auto connection = std::make_unique<http_connection>(n.ctx);
     const auto left = std::max<span_us>(1, deadline - mono_now());
-    link->stream.expires_after(
-        std::chrono::microseconds(std::min(connect_bound, left)));
+    connection->stream.expires_after(
+        std::chrono::microseconds(std::min(connect_timeout, left)));
     const tcp::endpoint at(asio::ip::address_v4(to.ip), to.exit_port);
     beast::error_code ec;
-    link->stream.async_connect(at, y[ec]);
+    connection->stream.async_connect(at, y[ec]);
     if (ec)
         return nullptr;
-    link->stream.socket().set_option(tcp::no_delay(true), ec);
-    return link;
+    connection->stream.socket().set_option(tcp::no_delay(true), ec);
+    return connection;
 }
 
-void entry_request::tell(attempt_event e)
+void entry_request::queue_event(attempt_event e)
 {
-    inbox.push_back(std::move(e));
+    event_queue.push_back(std::move(e));
     signal.cancel();
 }
 
@@ -331,25 +345,26 @@
 {
     if (exit == n.self.id || !n.settings.experiment.has(mechanism::path_guard))
         return;
-    log_path(n, exit,
-             path_seen(n.paths, n.path_settings, exit, lost, mono_now()));
+    log_path_step(n, exit,
+                  path_seen(n.paths, n.path_settings, exit, lost, mono_now()));
 }
 
 namespace {
 
-/// Whether the attempt that begins now may go to a suspect: its failure
-/// would be tried again, within attempts and budget. The track of the
-/// attempt stands in the machine already.
-bool others_may_fail(const entry_request& r)
+/// Returns whether the new attempt may go to a suspect backend server: a
+/// failure could be retried within the attempt limit and the retry budget.
+/// The attempt's own track is in the state machine already.
+bool can_retry_elsewhere(const entry_request& r)
 {
     const auto& m = r.machine;
     std::uint32_t reached = 0;
     for (const auto& t : m.attempt_states)
         reached += t.reached ? 1 : 0;
     const auto it = r.n.budgets.find(r.service->name);
-    const bool paid =
+    const bool within_budget =
         it != r.n.budgets.end() && may_retry(it->second, mono_now());
-    return m.policy.idempotent && reached < m.policy.max_attempts && paid;
+    return m.policy.idempotent && reached < m.policy.max_attempts &&
+           within_budget;
 }
 
 } // namespace
@@ -357,32 +372,33 @@
 void start_attempt(const std::shared_ptr<entry_request>& r, std::uint32_t count,
                    attempt_action_kind kind)
 {
-    const bool fresh = kind != attempt_action_kind::send;
-    r->resort = kind == attempt_action_kind::send_fallback;
-    r->may_probe = others_may_fail(*r);
-    r->tries.emplace_back();
-    auto& t = r->tries.back();
-    if (!aim(*r, t, count))
-        return r->tell({attempt_event_kind::no_worker, count,
-                        r->resort ? "" : "no-worker"});
+    const bool new_connection = kind != attempt_action_kind::send;
+    r->is_fallback = kind == attempt_action_kind::send_fallback;
+    r->may_probe = can_retry_elsewhere(*r);
+    r->attempts.emplace_back();
+    auto& t = r->attempts.back();
+    if (!select_target(*r, t, count))
+        return r->queue_event({attempt_event_kind::no_worker, count,
+                               r->is_fallback ? "" : "no-worker"});
     asio::spawn(
         r->n.ctx,
-        [r, &t, count, fresh](const yield& y) {
-            const auto result = run_try(*r, t, count, fresh, y);
-            release(*r, t, result);
+        [r, &t, count, new_connection](const yield& y) {
+            const auto result = run_attempt(*r, t, count, new_connection, y);
+            finish_attempt(*r, t, result);
             if (!t.cancelled)
-                r->tell({result.kind, count, result.reason, result.reached});
+                r->queue_event(
+                    {result.kind, count, result.reason, result.reached});
         },
         asio::detached);
 }
 
 void start_revoke(const std::shared_ptr<entry_request>& r, std::uint32_t count)
 {
-    const auto& t = r->tries[count - 1];
+    const auto& t = r->attempts[count - 1];
     const auto left = r->machine.deadline - mono_now();
-    const auto bound = std::min(revoke_bound, std::max<span_us>(1, left));
+    const auto timeout = std::min(revoke_timeout, std::max<span_us>(1, left));
     r->n.control.revoke(
-        t.address, attempt_id{r->id, count}, t.boot, bound,
+        t.address, attempt_id{r->id, count}, t.boot, timeout,
         [r, count](std::optional<revoke_reply> reply) {
             r->n.events.write(
                 event_id::attempt_revoked, r->label,
@@ -397,21 +413,21 @@
                                   ? attempt_event_kind::revoke_open
                                   : attempt_event_kind::revoke_unknown;
             if (!reply)
-                record_path_result(r->n, r->tries[count - 1].exit, true);
-            r->tell({kind, count, reply ? "" : "exit-silent"});
+                record_path_result(r->n, r->attempts[count - 1].exit, true);
+            r->queue_event({kind, count, reply ? "" : "exit-silent"});
         });
 }
 
 void cancel_attempt(entry_request& r, std::uint32_t count)
 {
-    auto& t = r.tries[count - 1];
-    // Another attempt was faster. If it is the path and not the work, the
-    // next request need not find out by waiting as long.
+    auto& t = r.attempts[count - 1];
+    // Without a response head the path may be at fault; a probe finds out
+    // before the next request waits for it.
     if (!t.parser)
         start_path_probe(r.n, t.exit);
     t.cancelled = true;
-    if (t.link)
-        t.link->stream.cancel();
+    if (t.connection)
+        t.connection->stream.cancel();
 }
 
 void start_path_probe(node_state& n, node_id exit)
@@ -426,10 +442,10 @@
         n.ctx,
         [&n,
          t = std::make_shared<entry_attempt>(std::move(t))](const yield& y) {
-            auto link =
-                connect_exit(n, t->address, mono_now() + connect_bound, y);
-            record_path_result(n, t->exit,
-                               !link || !ping(n, *link, t->exit, y));
+            auto connection =
+                connect_exit(n, t->address, mono_now() + connect_timeout, y);
+            record_path_result(
+                n, t->exit, !connection || !ping(n, *connection, t->exit, y));
         },
         asio::detached);
 }
--- a/src/node/entry_refusal.cpp
+++ b/src/node/entry_refusal.cpp
@@ -1,4 +1,4 @@
-// Refusals; see entry_refusal.hpp.
+// Responses to callers whose requests are refused.
 #include "node/entry_refusal.hpp"
 
 #include "node/quarantine_driver.hpp"
@@ -12,10 +12,10 @@
 
 namespace json = boost::json;
 
-constexpr span_us default_retry = 100 * us_per_ms;
+constexpr span_us default_retry_after = 100 * us_per_ms;
 
-/// Seconds with three fractional digits, as callers of an adapter read them.
-std::string seconds_text(span_us t)
+/// Formats seconds with three decimals, as platform callers expect them.
+std::string format_seconds(span_us t)
 {
     std::array<char, 32> buf{};
     std::snprintf(buf.data(), buf.size(), "%.3f",
@@ -23,7 +23,8 @@
     return buf.data();
 }
 
-void explain_refusal(string_response& m, const request_id& id, const refusal& x)
+void add_refusal_details(string_response& m, const request_id& id,
+                         const refusal& x)
 {
     const std::string outcome(name_of(final_outcome_names, x.outcome));
     m.set(caller_field::outcome, outcome);
@@ -51,9 +52,9 @@
 {
     string_response m(x.status, 11);
     if (explain)
-        explain_refusal(m, id, x);
+        add_refusal_details(m, id, x);
     else if (x.retry_after > 0)
-        m.set(http::field::retry_after, seconds_text(x.retry_after));
+        m.set(http::field::retry_after, format_seconds(x.retry_after));
     return m;
 }
 
@@ -76,8 +77,8 @@
         x.event = event_id::refused_unknown;
         return x;
     }
-    x.retry_after = default_retry;
-    for (const auto& t : r.tries)
+    x.retry_after = default_retry_after;
+    for (const auto& t : r.attempts)
         x.retry_after = std::max(x.retry_after, t.retry_after);
     if (x.reason == "queue-full" || x.reason == "shed" ||
         x.reason == "deadline-short")
--- a/src/node/entry_refusal.hpp
+++ b/src/node/entry_refusal.hpp
@@ -1,5 +1,5 @@
-// Refusals at the entry side: what is said to a caller that gets no backend
-// server's answer.
+// Refusals: responses that the entry side gives without a backend server's
+// answer.
 #pragma once
 
 #include "node/entry_run.hpp"
@@ -13,19 +13,19 @@
     final_outcome outcome = final_outcome::not_run;
     event_id event = event_id::refused_not_run;
     std::string reason;
-    span_us retry_after = 0; ///< 0 when repeating is of no use
-    std::string team;        ///< of the caller, for the log; empty for none
+    span_us retry_after = 0; ///< 0 when a retry would not help
+    std::string team;        ///< of the caller, for the log; may be empty
 };
 
-/// Message for a caller.
-/// @param explain adds the product's own fields
+/// Returns the response to the caller.
+/// @param explain adds header fields and a body that state the reason
 string_response make_refusal(const request_id& id, const refusal& x,
                              bool explain);
 
-/// Refusal of a request in quarantine that has not run.
+/// Returns the refusal of a quarantined request that has not run.
 refusal quarantine_refusal(const node_state& n);
 
-/// Refusal of a request whose attempts have all ended.
+/// Returns the refusal of a request whose attempts have all ended.
 refusal final_refusal(const entry_request& r);
 
 } // namespace jasminetray
--- a/src/node/entry_run.hpp
+++ b/src/node/entry_run.hpp
@@ -1,6 +1,6 @@
-// One request at the entry side: its machine, its attempts, its inbox. The
-// caller's coroutine owns it; each attempt has a coroutine of its own that
-// puts events into the inbox.
+// One request at the entry side: its state machine, attempts and event queue.
+// The caller's coroutine owns it; each attempt runs in its own coroutine and
+// posts events to the queue.
 #pragma once
 
 #include "node/node_state.hpp"
@@ -9,19 +9,18 @@
 
 namespace jasminetray {
 
-constexpr span_us exit_idle_timeout =
-    30 * us_per_s; ///< shorter than exits wait
-constexpr std::size_t max_idle_exit_connections =
-    32; ///< connections to one exit node
+/// Shorter than the idle timeout of exit nodes, so that this side closes first.
+constexpr span_us exit_idle_timeout = 30 * us_per_s;
+constexpr std::size_t max_idle_exit_connections = 32; ///< per exit node
 
-/// One attempt's I/O.
+/// I/O state of one attempt.
 struct entry_attempt
 {
     worker_id worker{};
     node_id exit{};
-    boot_id boot{}; ///< process that it was sent to
+    boot_id boot{}; ///< process of the exit node
     node_address address;
-    std::unique_ptr<http_connection> link;
+    std::unique_ptr<http_connection> connection;
     std::unique_ptr<response_parser> parser;
     span_us retry_after = 0; ///< from the exit node's refusal
     bool cancelled = false;
@@ -36,54 +35,54 @@
 
     node_state& n;
     request_id id;
-    std::string label; ///< id in logs: the caller's own where it has one
+    std::string label; ///< id in logs: the caller's where it sends one
     std::shared_ptr<const fleet_config> config; ///< in force at its start
     const route_config* route = nullptr;        ///< within config
     const service_config* service = nullptr;    ///< within config
     service_id service_key{};
     std::uint32_t route_class = 0;
-    std::string team;           ///< of the caller; empty for none
-    std::uint64_t team_key = 0; ///< hash of its name; 0 for none
-    team_limit limit;           ///< of the team; a rate of 0 for none
-    int priority = 0;           ///< the team's own, else the route's
+    std::string team;            ///< may be empty
+    std::uint64_t team_hash = 0; ///< hash of its name; 0 for none
+    team_limit limit;            ///< of the team; a rate of 0 is no limit
+    int priority = 0;            ///< the team's, else the route's
     string_request message;
-    std::optional<fingerprint> content; ///< of message, once it was needed
+    std::optional<fingerprint> message_fingerprint; ///< computed on demand
     request_state machine;
-    mono_us began = 0;
-    std::deque<attempt_event> inbox;
-    asio::steady_timer signal;       ///< cancelled when the inbox has news
-    std::deque<entry_attempt> tries; ///< by count - 1; stable addresses
-    std::vector<worker_id> tried;
-    std::optional<worker_id> home; ///< the only one allowed, by key
-    bool may_probe = false; ///< the attempt that begins may meet a suspect
-    bool resort = false;    ///< the attempt that begins is the last resort
-    bool watching = false;  ///< the caller's socket is watched
+    mono_us received_at = 0;
+    std::deque<attempt_event> event_queue;
+    asio::steady_timer signal;          ///< cancelled when an event is queued
+    std::deque<entry_attempt> attempts; ///< by number - 1; addresses are stable
+    std::vector<worker_id> tried_workers;
+    std::optional<worker_id> pinned_worker; ///< only server allowed, by key
+    bool may_probe = false;   ///< the new attempt may go to a suspect server
+    bool is_fallback = false; ///< the new attempt is the fallback
+    bool watching_caller = false; ///< the caller's socket is polled for closing
 
-    /// Puts an event into the inbox.
-    void tell(attempt_event e);
+    /// Queues an event and wakes the caller's coroutine.
+    void queue_event(attempt_event e);
 };
 
-/// A new connection to another node's exit side; null when there is none in
-/// time.
+/// Connects to another node's exit side.
+/// @return null on error or timeout
 std::unique_ptr<http_connection> connect_exit(node_state& n,
                                               const node_address& to,
                                               mono_us deadline, const yield& y);
 
-/// Starts an attempt.
-/// @param kind how it is sent
+/// @param kind one of the send actions
 void start_attempt(const std::shared_ptr<entry_request>& r, std::uint32_t count,
                    attempt_action_kind kind);
 
-/// Asks the exit node of an attempt whether it ran.
+/// Asks the exit node to revoke an attempt; the reply says whether it ran.
 void start_revoke(const std::shared_ptr<entry_request>& r, std::uint32_t count);
 
-/// Drops an attempt; its connection is closed.
+/// Abandons an attempt and closes its connection.
 void cancel_attempt(entry_request& r, std::uint32_t count);
 
-/// Pings one path on a new connection.
+/// Pings an exit node on a new connection.
 void start_path_probe(node_state& n, node_id exit);
 
-/// Evidence about the path to an exit node, with its log line.
+/// Records success or loss on the path to an exit node, and logs state
+/// changes of the path.
 void record_path_result(node_state& n, node_id exit, bool lost);
 
 } // namespace jasminetray
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -1,4 +1,4 @@
-// The entry side; see entry_server.hpp.
+// Handles callers' connections and requests.
 #include "node/entry_server.hpp"
 
 #include "attempt/attempt_func.hpp"
@@ -17,22 +17,17 @@
 
 namespace {
 
-constexpr span_us write_bound = 10 * us_per_s;  // for a caller to take it
-constexpr span_us full_retry = 100 * us_per_ms; // when the entry side is full
-/// Gates that one request asks. Asking all again after a pause, for a second,
-/// served no more and cost a sixth of the bytes between data centres; a gate
-/// holds work for as long as that is worth it.
+constexpr span_us write_timeout = 10 * us_per_s;
+constexpr span_us overload_retry_after = 100 * us_per_ms;
+/// Gates that a request is offered to. Gates queue work themselves, so that
+/// repeated offers would only cost traffic between data centres.
 constexpr std::uint32_t max_gates = 4;
-/// Request bodies of more bytes are offered to fewer gates, and not to
-/// suspects: each offer carries the body again. Scans of 60 KB that four gates
-/// refused were two thirds of all bytes between data centres (0.15 GB of a
-/// day at 92 VMs, 0.06 with two gates); 0.31 of them were served with four
-/// gates and 0.27 with two, within the noise of one day.
-constexpr std::size_t large_body = 16384;
-constexpr std::uint32_t max_large_gates = 2;
-constexpr double golden_step = 0.6180339887498949; // fills evenly at any length
+/// Larger request bodies (bytes) are offered to fewer gates and never as a
+/// fallback, as each offer transmits the body again.
+constexpr std::size_t large_body_bytes = 16384;
+constexpr std::uint32_t max_gates_large_body = 2;
+constexpr double golden_ratio_step = 0.6180339887498949;
 
-/// A caller's connection with what is needed to answer on it.
 struct caller
 {
     beast::tcp_stream& stream;
@@ -43,7 +38,7 @@
 {
     m.keep_alive(c.keep_alive);
     m.prepare_payload();
-    c.stream.expires_after(std::chrono::microseconds(write_bound));
+    c.stream.expires_after(std::chrono::microseconds(write_timeout));
     beast::error_code ec;
     http::async_write(c.stream, m, y[ec]);
     return !ec && c.keep_alive;
@@ -62,33 +57,32 @@
     return send(c, make_refusal(id, x, n.dialect.explain), y);
 }
 
-std::string host_of(const string_request& m)
+std::string request_host(const string_request& m)
 {
     const auto host = header_value(m, "host");
     return host.substr(0, host.find(':'));
 }
 
-std::string_view path_of(const string_request& m)
+std::string_view request_path(const string_request& m)
 {
     const std::string_view target(m.target().data(), m.target().size());
     return target.substr(0, target.find('?'));
 }
 
-/// Service of a route's next request. Steps of the golden ratio fill the
-/// parts in proportion over any run of requests, where random draws would be
-/// off by a tenth at 100 requests.
+/// Selects the service of a route's next request. A low-discrepancy sequence
+/// keeps to the configured shares even over short runs of requests.
 const std::string& choose_service(node_state& n, const route_config& r)
 {
     if (r.parts.empty())
         return r.service;
-    const auto [it, fresh] = n.split_places.try_emplace(r.name, 0.0);
-    if (fresh)
+    const auto [it, inserted] = n.split_places.try_emplace(r.name, 0.0);
+    if (inserted)
         it->second = random_unit(n.rng);
-    it->second = std::fmod(it->second + golden_step, 1.0);
+    it->second = std::fmod(it->second + golden_ratio_step, 1.0);
     return choose_part(r, it->second);
 }
 
-/// Finds route and service and checks the entry node's limits.
+/// Finds the route and service of a request and checks the node's limits.
 /// @return a refusal, or nothing with `r` filled in
 std::optional<refusal> route_request(node_state& n, entry_request& r)
 {
@@ -100,7 +94,8 @@
         x.retry_after = us_per_s;
         return x;
     }
-    r.route = find_route(*r.config, host_of(r.message), path_of(r.message));
+    r.route =
+        find_route(*r.config, request_host(r.message), request_path(r.message));
     if (r.route == nullptr) {
         x.status = http::status::not_found;
         x.event = event_id::refused_no_route;
@@ -119,53 +114,53 @@
     r.route_class = static_cast<std::uint32_t>(text_hash(r.route->name));
     if (auto refused = identify_team(n, r))
         return refused;
-    // What is begun now could not end before the process does, and its
-    // caller would see a closed connection.
+    // The process exits before a request that starts now could finish.
     if (mono_now() >= n.refuse_at) {
         x.reason = "stopping";
         x.retry_after = us_per_s;
         return x;
     }
-    // Each service has its own share, so that one whose backend servers
-    // hang cannot take the places of the others.
+    // The limit per service keeps one with hanging backend servers from
+    // exhausting the node's limit.
     if (n.in_flight >= n.settings.max_in_flight ||
         n.in_flight_by_service[name] >= n.settings.service_in_flight) {
         x.event = event_id::refused_overload;
         x.reason = "entry-full";
-        x.retry_after = full_retry;
+        x.retry_after = overload_retry_after;
         return x;
     }
     return std::nullopt;
 }
 
-/// A caller that closes its connection ends its request.
+/// Ends a request when its caller closes the connection.
 void watch_caller(const std::shared_ptr<entry_request>& r, caller& c)
 {
-    r->watching = true;
+    r->watching_caller = true;
     auto* stream = &c.stream;
     stream->socket().async_wait(
         tcp::socket::wait_read,
         [weak = std::weak_ptr<entry_request>(r), stream](beast::error_code ec) {
             const auto run = weak.lock();
-            if (ec || !run || !run->watching)
+            if (ec || !run || !run->watching_caller)
                 return;
             if (peer_closed(stream->socket()))
-                run->tell({attempt_event_kind::caller_gone, 0, ""});
+                run->queue_event({attempt_event_kind::caller_gone, 0, ""});
         });
 }
 
 void unwatch_caller(entry_request& r, caller& c)
 {
-    r.watching = false;
+    r.watching_caller = false;
     beast::error_code ec;
     c.stream.socket().cancel(ec);
 }
 
-/// Gives an attempt's answer to the caller.
-bool deliver(entry_request& r, std::uint32_t number, caller& c, const yield& y)
+/// @return whether the connection can be reused
+bool deliver_answer(entry_request& r, std::uint32_t number, caller& c,
+                    const yield& y)
 {
     auto& n = r.n;
-    auto& t = r.tries[number - 1];
+    auto& t = r.attempts[number - 1];
     auto& answer = t.parser->get();
     strip_hop_fields(answer);
     if (!n.dialect.preserve_request_id)
@@ -177,14 +172,14 @@
     count(*n.metrics.requests, "outcome", "answered");
     n.events.note(event_id::request_answered, r.label,
                   "status=" + std::to_string(answer.result_int()) +
-                      " attempts=" + std::to_string(r.tries.size()) +
-                      " us=" + std::to_string(mono_now() - r.began));
+                      " attempts=" + std::to_string(r.attempts.size()) +
+                      " us=" + std::to_string(mono_now() - r.received_at));
     if (!t.parser->is_done()) {
-        if (relay_answer(*t.link, *t.parser, answer.base(), c.stream,
-                         write_bound, y))
+        if (relay_answer(*t.connection, *t.parser, answer.base(), c.stream,
+                         write_timeout, y))
             return c.keep_alive;
         n.events.write(event_id::answer_cut, r.label, "");
-        return false; // closing is how the caller sees the cut
+        return false; // the caller detects truncation by the close
     }
     string_response m(answer.base(), std::move(answer.body()));
     m.version(11);
@@ -197,9 +192,9 @@
     return !ec && c.keep_alive;
 }
 
-/// Carries out actions; gives the attempt to deliver, or 0.
-std::uint32_t carry_out(const std::shared_ptr<entry_request>& r,
-                        const std::vector<attempt_action>& actions)
+/// @return number of the attempt to deliver, or 0
+std::uint32_t execute_actions(const std::shared_ptr<entry_request>& r,
+                              const std::vector<attempt_action>& actions)
 {
     std::uint32_t delivered = 0;
     for (const auto& a : actions) {
@@ -225,18 +220,21 @@
     return delivered;
 }
 
-/// A request that came into quarantine while it was tried is sent to nobody
-/// else, and costs the service no retry.
-void note_quarantine(entry_request& r, attempt_event& e)
+/// Stops further attempts of a request that was quarantined meanwhile, without
+/// charging the retry budget.
+void check_quarantine(entry_request& r, attempt_event& e)
 {
-    if (r.machine.quarantined || !is_quarantined(r.n, r.message, r.content))
+    if (r.machine.quarantined ||
+        !is_quarantined(r.n, r.message, r.message_fingerprint))
         return;
     r.machine.quarantined = true;
     e.reason = quarantined_reason;
 }
 
-/// Feeds the machine until the request has its final outcome.
-std::uint32_t drive(const std::shared_ptr<entry_request>& r, const yield& y)
+/// Feeds events to the state machine until the request has its final outcome.
+/// @return number of the attempt to deliver, or 0
+std::uint32_t run_state_machine(const std::shared_ptr<entry_request>& r,
+                                const yield& y)
 {
     auto& budget = r->n.budgets[r->service->name];
     const auto& h = r->n.settings.hosted;
@@ -250,12 +248,12 @@
         budget.share = r->service->retry_share;
     }
     count_request(budget, now);
-    const auto& on = r->n.safeguards.attempt;
-    auto delivered = carry_out(
+    const auto& safeguards = r->n.safeguards.attempt;
+    auto delivered = execute_actions(
         r, attempt_step(r->machine, {attempt_event_kind::begin, 0, ""}, budget,
-                        mono_now(), on));
+                        mono_now(), safeguards));
     while (r->machine.outcome == final_outcome::open) {
-        if (r->inbox.empty()) {
+        if (r->event_queue.empty()) {
             const auto wait = r->machine.wake_at - mono_now();
             r->signal.expires_after(
                 std::chrono::microseconds(std::max<span_us>(0, wait)));
@@ -263,56 +261,57 @@
             r->signal.async_wait(y[ec]);
         }
         attempt_event e{attempt_event_kind::timer, 0, ""};
-        if (!r->inbox.empty()) {
-            e = std::move(r->inbox.front());
-            r->inbox.pop_front();
+        if (!r->event_queue.empty()) {
+            e = std::move(r->event_queue.front());
+            r->event_queue.pop_front();
         }
-        note_quarantine(*r, e);
-        delivered =
-            carry_out(r, attempt_step(r->machine, e, budget, mono_now(), on));
+        check_quarantine(*r, e);
+        delivered = execute_actions(
+            r, attempt_step(r->machine, e, budget, mono_now(), safeguards));
     }
     return delivered;
 }
 
-/// Time without an answer after which another attempt is worth its cost. A
-/// route that says when an answer stops being worth all is given most of
-/// that; a hanging backend server still leaves time for one more attempt.
-span_us silence_of(const node_state& n, const entry_request& r, bool idempotent)
+/// Returns the response timeout after which another attempt starts. With a
+/// latency target it is most of the target, which leaves time for the retry.
+span_us response_timeout(const node_state& n, const entry_request& r,
+                         bool idempotent)
 {
-    constexpr double share = 0.8;
+    constexpr double target_share = 0.8;
     if (r.route->target_us == 0)
         return n.settings.silence;
-    return idempotent ? static_cast<span_us>(
-                            share * static_cast<double>(r.route->target_us))
-                      : r.route->deadline_us;
+    return idempotent
+               ? static_cast<span_us>(target_share *
+                                      static_cast<double>(r.route->target_us))
+               : r.route->deadline_us;
 }
 
-attempt_policy policy_of(const node_state& n, const entry_request& r)
+attempt_policy make_policy(const node_state& n, const entry_request& r)
 {
     attempt_policy p;
     const auto& m = r.message.method_string();
     p.idempotent = is_idempotent(*r.route, {m.data(), m.size()});
-    const auto most =
+    const auto max_attempts =
         r.route->attempts > 0 ? r.route->attempts : n.settings.max_attempts;
-    p.max_attempts = static_cast<std::uint32_t>(most);
+    p.max_attempts = static_cast<std::uint32_t>(max_attempts);
     if (!n.settings.experiment.has(mechanism::retries))
         p.max_attempts = 1;
-    p.response_timeout = silence_of(n, r, p.idempotent);
+    p.response_timeout = response_timeout(n, r, p.idempotent);
     p.revoke_margin = std::min(p.revoke_margin, r.route->deadline_us / 4);
     if (n.balance.doubt.on) {
         p.max_tries = max_gates;
         p.use_fallback =
             p.idempotent && n.settings.experiment.has(mechanism::last_resort);
-        if (r.message.body().size() > large_body) {
-            p.max_tries = max_large_gates;
+        if (r.message.body().size() > large_body_bytes) {
+            p.max_tries = max_gates_large_body;
             p.use_fallback = false;
         }
     }
     return p;
 }
 
-/// What the exit node and the backend server are to see of the caller's
-/// head; everything else passes through.
+/// Rewrites the caller's header fields for the exit node and the backend
+/// server. Unlisted fields pass through.
 void prepare_message(node_state& n, entry_request& r)
 {
     auto& m = r.message;
@@ -326,8 +325,9 @@
               n.settings.hosted.service);
 }
 
-/// The caller's own limit, when it says one.
-span_us patience_of(const node_state& n, const entry_request& r)
+/// Returns the request's timeout: the route's, or a shorter one that the caller
+/// sends.
+span_us request_timeout(const node_state& n, const entry_request& r)
 {
     if (!n.dialect.preserve_request_id)
         return r.route->deadline_us;
@@ -342,35 +342,35 @@
 {
     constexpr unsigned first_failure = 500;
     if (delivered == 0)
-        return true; // also when the caller left: it may have waited in vain
-    const auto& t = r.tries[delivered - 1];
+        return true; // includes callers that gave up waiting
+    const auto& t = r.attempts[delivered - 1];
     return t.parser->get().result_int() >= first_failure;
 }
 
-/// Runs a routed request to its final answer.
+/// @return whether the caller's connection can be reused
 bool run_request(const std::shared_ptr<entry_request>& r, caller& c,
                  const yield& y)
 {
     auto& n = r->n;
-    auto& of_service = n.in_flight_by_service[r->service->name];
+    auto& in_flight_of_service = n.in_flight_by_service[r->service->name];
     ++n.in_flight;
-    ++of_service;
+    ++in_flight_of_service;
     watch_caller(r, c);
     n.open_runs.insert(r.get());
-    const auto delivered = drive(r, y);
+    const auto delivered = run_state_machine(r, y);
     n.open_runs.erase(r.get());
     unwatch_caller(*r, c);
-    n.metrics.duration->Observe(static_cast<double>(mono_now() - r->began) /
-                                us_per_s);
+    n.metrics.duration->Observe(
+        static_cast<double>(mono_now() - r->received_at) / us_per_s);
     if (is_failure(*r, delivered))
         n.call_failed_at = mono_now();
     bool keep = false;
     if (delivered != 0)
-        keep = deliver(*r, delivered, c, y);
+        keep = deliver_answer(*r, delivered, c, y);
     else if (r->machine.outcome != final_outcome::gone)
         keep = send_refusal(n, c, r->id, r->label, final_refusal(*r), y);
     --n.in_flight;
-    --of_service;
+    --in_flight_of_service;
     return keep;
 }
 
@@ -379,18 +379,18 @@
 {
     auto r = std::make_shared<entry_request>(n);
     r->id = {n.self.id, n.next_request++};
-    r->began = mono_now();
+    r->received_at = mono_now();
     r->message = std::move(message);
     r->label = n.dialect.preserve_request_id
                    ? header_value(r->message, to_beast_view(n.dialect.request))
                    : to_text(r->id);
     if (const auto x = route_request(n, *r))
         return send_refusal(n, c, r->id, r->label, *x, y);
-    r->machine =
-        make_request(policy_of(n, *r),
-                     std::min(n.last_answer_at, r->began + patience_of(n, *r)));
+    r->machine = make_request(
+        make_policy(n, *r),
+        std::min(n.last_answer_at, r->received_at + request_timeout(n, *r)));
     prepare_message(n, *r);
-    if (is_quarantined(n, r->message, r->content))
+    if (is_quarantined(n, r->message, r->message_fingerprint))
         return send_refusal(n, c, r->id, r->label, quarantine_refusal(n), y);
     if (const auto x = acquire_grant(n, *r, y))
         return send_refusal(n, c, r->id, r->label, *x, y);
--- a/src/node/entry_server.hpp
+++ b/src/node/entry_server.hpp
@@ -1,15 +1,15 @@
-// The entry side: takes callers' requests, routes them by the configuration
-// in force, and drives the attempt machine until each has its final answer.
+// The entry side: accepts callers' requests, routes them by the configuration
+// in force, and runs the attempt state machine until the final answer.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Serves one connection of a caller until it ends.
+/// Serves a caller's connection until it closes.
 void serve_caller(node_state& n, beast::tcp_stream stream, const yield& y);
 
-/// Pings avoided paths whose time has come.
+/// Pings avoided paths whose next probe is due.
 void probe_avoided_paths(node_state& n, mono_us now);
 
 } // namespace jasminetray
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -1,4 +1,4 @@
-// Shortening requests at a stop; see entry_stop.hpp.
+// Shortens the deadlines of open requests while the node stops.
 #include "node/entry_stop.hpp"
 
 #include "attempt/attempt_func.hpp"
@@ -14,87 +14,85 @@
 
 namespace {
 
-/// For an exit node to take the notice. One that is slower is treated as
-/// unreachable: the work ends with its entry node's connection then.
-constexpr span_us notice_bound = 500 * us_per_ms;
+/// A slower exit node counts as unreachable: its work ends when this node
+/// closes the connection.
+constexpr span_us notice_timeout = 500 * us_per_ms;
 
-/// For one node to grant retries: three are asked within a second.
-constexpr span_us loan_bound = 300 * us_per_ms;
-constexpr span_us second_loan = us_per_s; // after the first
-constexpr std::size_t max_lenders = 3;    ///< asked for one service
-constexpr int max_loan = 8;               ///< retries, of one service
+constexpr span_us loan_timeout = 300 * us_per_ms; ///< per node asked
+constexpr span_us second_loan_delay = us_per_s;   ///< after the first
+constexpr std::size_t max_lenders = 3;            ///< nodes asked per service
+constexpr int max_loan = 8;                       ///< retries per service
 
 /// Open attempts at one exit node.
-struct exit_share
+struct exit_attempts
 {
     node_address address;
     std::vector<attempt_id> attempts;
     std::vector<std::string> labels; ///< of their requests, in the same order
 };
 
-/// Tells one exit node.
-bool tell_exit(node_state& n, node_id exit, const exit_share& share,
-               const yield& y)
+bool notify_exit(node_state& n, node_id exit, const exit_attempts& group,
+                 const yield& y)
 {
     shorten_notice s;
-    s.attempts = share.attempts;
+    s.attempts = group.attempts;
     const auto text = [&] {
         s.remaining = n.last_answer_at - mono_now();
         return to_text(s);
     };
-    return send_peer_request(n, exit, share.address, shorten_path, text,
-                             mono_now() + notice_bound, y)
+    return send_peer_request(n, exit, group.address, shorten_path, text,
+                             mono_now() + notice_timeout, y)
         .has_value();
 }
 
-void start_telling(node_state& n, node_id exit, exit_share share)
+void start_notice(node_state& n, node_id exit, exit_attempts group)
 {
     asio::spawn(
         n.ctx,
-        [&n, exit, share = std::move(share)](const yield& y) {
-            const bool told = tell_exit(n, exit, share, y);
-            for (const auto& label : share.labels)
+        [&n, exit, group = std::move(group)](const yield& y) {
+            const bool delivered = notify_exit(n, exit, group, y);
+            for (const auto& label : group.labels)
                 n.events.write(
                     event_id::request_shortened, label,
                     "exit=" + to_hex(static_cast<std::uint64_t>(exit)) +
-                        " told=" + (told ? "1" : "0") + " left_ms=" +
+                        " told=" + (delivered ? "1" : "0") + " left_ms=" +
                         std::to_string((n.last_answer_at - mono_now()) /
                                        us_per_ms));
         },
         asio::detached);
 }
 
-/// Time that work of a request takes. The backend server's usual time counts
-/// all its work, short lookups too; so it is no less than what the route's
-/// patience with silence lets expect.
-span_us usual_of(const entry_request& r)
+/// Returns the expected duration of a request's work. The server's baseline
+/// covers its short work too, so the policy's expectation is a lower limit.
+span_us expected_request_time(const entry_request& r)
 {
     const auto expected = expected_duration(r.machine.policy);
-    const auto* c = r.tries.empty() ? nullptr
-                                    : view_candidate(r.n.view, r.service_key,
-                                                     r.tries.back().worker);
+    const auto* c =
+        r.attempts.empty()
+            ? nullptr
+            : view_candidate(r.n.view, r.service_key, r.attempts.back().worker);
     return c == nullptr ? expected : std::max(expected, c->work_us);
 }
 
-/// Adds a request's open attempts to the exit nodes that have them.
-void add_attempts(const entry_request& r, std::map<node_id, exit_share>& shares)
+void group_attempts(const entry_request& r,
+                    std::map<node_id, exit_attempts>& by_exit)
 {
-    for (std::uint32_t k = 0; k < r.tries.size(); ++k) {
-        const auto& t = r.tries[k];
+    for (std::uint32_t k = 0; k < r.attempts.size(); ++k) {
+        const auto& t = r.attempts[k];
         const bool open =
             k < r.machine.attempt_states.size() && !t.cancelled &&
             r.machine.attempt_states[k].phase == attempt_phase::open;
         if (!open)
             continue;
-        auto& share = shares[t.exit];
-        share.address = t.address;
-        share.attempts.push_back({r.id, k + 1});
-        share.labels.push_back(r.label);
+        auto& group = by_exit[t.exit];
+        group.address = t.address;
+        group.attempts.push_back({r.id, k + 1});
+        group.labels.push_back(r.label);
     }
 }
 
-/// Nodes to borrow retries from, of the own data centre first.
-std::vector<node_id> lenders(node_state& n)
+/// Selects nodes to borrow retries from, first in this data centre.
+std::vector<node_id> choose_lenders(node_state& n)
 {
     std::vector<node_id> near;
     std::vector<node_id> far;
@@ -109,27 +107,27 @@
     return chosen;
 }
 
-/// Lets all open requests see that something has changed for them.
+/// Makes all open requests check their retry budget again.
 void wake_requests(node_state& n)
 {
     for (auto* r : n.open_runs)
-        r->tell({attempt_event_kind::timer, 0, ""});
+        r->queue_event({attempt_event_kind::timer, 0, ""});
 }
 
-/// Borrows retries for a service's requests, one node after the other.
+/// Borrows retries for a service's requests, from one node at a time.
 void borrow_retries(node_state& n, const std::string& service, retry_loan loan,
                     const yield& y)
 {
     int granted = 0;
     const auto wanted = loan.count;
-    for (const auto id : lenders(n)) {
+    for (const auto id : choose_lenders(n)) {
         const auto it = n.view.nodes.find(id);
         if (granted >= wanted || it == n.view.nodes.end())
             break;
         loan.count = wanted - granted;
         const auto text = send_peer_request(
             n, id, it->second.record.address, retry_path,
-            [&loan] { return to_text(loan); }, mono_now() + loan_bound, y);
+            [&loan] { return to_text(loan); }, mono_now() + loan_timeout, y);
         const auto answer = text ? parse_retry_loan(*text) : std::nullopt;
         if (answer && answer->service == loan.service)
             granted += std::min(answer->count, loan.count);
@@ -141,8 +139,8 @@
     wake_requests(n);
 }
 
-/// Retries that open requests need beyond what this node has left: one for
-/// each that has run for its usual time and can be tried elsewhere.
+/// Returns by service the retries that overdue idempotent requests need beyond
+/// this node's budget.
 std::map<std::string, int> missing_retries(const node_state& n, mono_us now)
 {
     std::map<std::string, int> missing;
@@ -176,11 +174,11 @@
     }
 }
 
-/// Borrows once more, for requests that were young when the stop began.
-void borrow_later(node_state& n)
+/// Borrows again later, for requests that were not overdue at first.
+void schedule_second_loan(node_state& n)
 {
     auto timer = std::make_shared<asio::steady_timer>(n.ctx);
-    timer->expires_after(std::chrono::microseconds(second_loan));
+    timer->expires_after(std::chrono::microseconds(second_loan_delay));
     timer->async_wait([&n, timer](beast::error_code ec) {
         if (!ec)
             start_borrowing(n);
@@ -210,29 +208,29 @@
 void shorten_deadlines(node_state& n)
 {
     const auto now = mono_now();
-    std::map<node_id, exit_share> shares;
+    std::map<node_id, exit_attempts> by_exit;
     for (auto* r : n.open_runs) {
-        add_attempts(*r, shares);
-        attempt_shorten_deadline(r->machine, n.last_answer_at, usual_of(*r),
-                                 now);
-        r->tell({attempt_event_kind::timer, 0, ""});
+        group_attempts(*r, by_exit);
+        attempt_shorten_deadline(r->machine, n.last_answer_at,
+                                 expected_request_time(*r), now);
+        r->queue_event({attempt_event_kind::timer, 0, ""});
     }
     start_borrowing(n);
-    borrow_later(n);
-    for (auto& [exit, share] : shares) {
-        // In parts that one head can hold.
-        while (share.attempts.size() > max_shortened_attempts) {
+    schedule_second_loan(n);
+    for (auto& [exit, group] : by_exit) {
+        // Splits the notice so that each fits into one header.
+        while (group.attempts.size() > max_shortened_attempts) {
             const auto from = static_cast<std::ptrdiff_t>(
-                share.attempts.size() - max_shortened_attempts);
-            exit_share part{
-                share.address,
-                {share.attempts.begin() + from, share.attempts.end()},
-                {share.labels.begin() + from, share.labels.end()}};
-            share.attempts.resize(static_cast<std::size_t>(from));
-            share.labels.resize(static_cast<std::size_t>(from));
-            start_telling(n, exit, std::move(part));
+                group.attempts.size() - max_shortened_attempts);
+            exit_attempts part{
+                group.address,
+                {group.attempts.begin() + from, group.attempts.end()},
+                {group.labels.begin() + from, group.labels.end()}};
+            group.attempts.resize(static_cast<std::size_t>(from));
+            group.labels.resize(static_cast<std::size_t>(from));
+            start_notice(n, exit, std::move(part));
         }
-        start_telling(n, exit, std::move(share));
+        start_notice(n, exit, std::move(group));
     }
 }
 
--- a/src/node/entry_stop.hpp
+++ b/src/node/entry_stop.hpp
@@ -1,18 +1,17 @@
-// The entry side of a node that stops: what becomes of the requests that have
-// no answer yet.
+// Graceful shutdown of the entry side: deadlines and retries of open requests.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Answers a node that stops and asks for retries that this one has left.
-/// @return false when the connection is of no more use
+/// Grants retries of this node's budget to a node that is stopping.
+/// @return false when the connection cannot be reused
 bool grant_retry_loan(node_state& n, const string_request& m,
                       beast::tcp_stream& to, const yield& y);
 
-/// No request may last beyond `n.last_answer_at`. Tells the exit nodes that
-/// have work of these requests, and lets the attempt machines act on it.
+/// Limits the deadlines of open requests to `n.last_answer_at`, notifies the
+/// exit nodes that run their attempts, and borrows retries from other nodes.
 void shorten_deadlines(node_state& n);
 
 } // namespace jasminetray
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -1,4 +1,4 @@
-// Teams at the entry side; see entry_team.hpp.
+// Checks of team keys, and grants by the owner nodes of teams.
 #include "node/entry_team.hpp"
 
 #include "base/random_func.hpp"
@@ -14,22 +14,19 @@
 
 namespace {
 
-/// For an answer of a home: a caller whose answer is due in a second still gets
-/// it after two homes stayed silent.
-constexpr span_us ask_bound = 100 * us_per_ms;
-/// The same for a question that is passed on, so that whoever asked first still
-/// hears the answer of the node that passed it on. With one bound for both, a
-/// home cut off from a fifth of the nodes had their requests refused: 40 of
-/// 4,000 in 12 s.
-constexpr span_us passed_on_bound = 40 * us_per_ms;
-constexpr std::size_t homes_asked = 3; ///< before the own part is lived on
-/// A home that stayed silent is not asked for so long: each request would wait
-/// for it again.
-constexpr span_us silence_memory = us_per_s;
-/// Of the target, that a request waits for its team's next token.
-constexpr double patience_share = 0.1;
-/// When to come back to a node that lost its proof: readers find another way
-/// to the store, or a peer, within about this.
+/// Short enough that a caller with a deadline of a second is still served after
+/// two owner nodes timed out.
+constexpr span_us grant_timeout = 100 * us_per_ms;
+/// Shorter than grant_timeout, so that the forwarding node can still answer
+/// after the owner node timed out.
+constexpr span_us forwarded_grant_timeout = 40 * us_per_ms;
+constexpr std::size_t max_owners_asked = 3; ///< before the local share is used
+/// An owner node that timed out is skipped for this long, so that not every
+/// request waits for it.
+constexpr span_us unresponsive_time = us_per_s;
+/// Share of the latency target that a request may wait for a token.
+constexpr double token_wait_share = 0.1;
+/// Readers usually reach the store or a peer again within this time.
 constexpr span_us unproven_retry = us_per_s;
 
 refusal refuse(http::status status, event_id event, const char* reason,
@@ -43,9 +40,9 @@
     return x;
 }
 
-/// The one value of a header field; nothing when it is missing or doubled.
-std::optional<std::string> only_value(const http::fields& m,
-                                      std::string_view name)
+/// Returns the value of a header field; nothing when missing or repeated.
+std::optional<std::string> unique_value(const http::fields& m,
+                                        std::string_view name)
 {
     const auto range = m.equal_range(to_beast_view(name));
     if (range.first == range.second || std::next(range.first) != range.second)
@@ -54,8 +51,8 @@
     return std::string(v.data(), v.size());
 }
 
-/// Where teams have no keys: the caller's word, and a limit at each node.
-std::optional<refusal> take_word(node_state& n, entry_request& r)
+/// Accepts the team that the caller names, and applies its limit per node.
+std::optional<refusal> accept_named_team(node_state& n, entry_request& r)
 {
     const auto team = header_value(r.message, to_beast_view(n.dialect.team));
     if (take_team_token(n.teams, *r.config, team, mono_now()))
@@ -64,24 +61,25 @@
                   "team-limit", us_per_s);
 }
 
-void take_team(entry_request& r, std::uint32_t place)
+void set_team(entry_request& r, std::uint32_t index)
 {
-    r.team = r.config->team_names[place];
-    r.team_key = text_hash(r.team);
+    r.team = r.config->team_names[index];
+    r.team_hash = text_hash(r.team);
     const auto& t = r.config->teams.at(r.team);
     r.limit = {r.config->version, t.rate, t.burst};
     r.priority = t.priority.value_or(r.route->priority);
 }
 
-/// Asks another node for a team's leave.
-std::optional<allowance_answer>
-ask_node(node_state& n, node_id id, const allowance_request& a, const yield& y)
+/// Requests a grant from another node; nothing on error or timeout.
+std::optional<allowance_answer> request_grant_from(node_state& n, node_id id,
+                                                   const allowance_request& a,
+                                                   const yield& y)
 {
     const auto it = n.view.nodes.find(id);
     if (it == n.view.nodes.end())
         return std::nullopt;
     const auto deadline =
-        mono_now() + (a.forwarded ? passed_on_bound : ask_bound);
+        mono_now() + (a.forwarded ? forwarded_grant_timeout : grant_timeout);
     const auto text = send_peer_request(
         n, id, it->second.record.address, allowance_path,
         [&a] { return to_text(a); }, deadline, y);
@@ -91,49 +89,47 @@
     return answer;
 }
 
-/// Leave from the first home that answers; this node may be one itself.
-std::optional<allowance_answer> ask_homes(node_state& n, allowance_request a,
-                                          const yield& y)
+/// Requests a grant from the first owner node that answers, which may be this
+/// node.
+std::optional<allowance_answer>
+request_grant(node_state& n, allowance_request a, const yield& y)
 {
-    const auto homes = team_owners(n, a.team, homes_asked);
-    for (const auto id : homes) {
+    const auto owners = team_owners(n, a.team, max_owners_asked);
+    for (const auto id : owners) {
         if (id == n.self.id)
-            return take_allowance(n.allowances, a.team, a.limit, a.patience,
+            return take_allowance(n.allowances, a.team, a.limit, a.max_wait,
                                   make_allowance_policy(n), mono_now());
-        if (const auto answer = ask_node(n, id, a, y))
+        if (const auto answer = request_grant_from(n, id, a, y))
             return answer;
     }
     return std::nullopt;
 }
 
-/// Checks a request's key.
-/// @param place of the key's team, when it is not refused
+/// @param index output: index of the key's team, unless refused
 std::optional<refusal> check_key(const node_state& n, const fleet_config& c,
-                                 const http::fields& m, std::uint32_t& place)
+                                 const http::fields& m, std::uint32_t& index)
 {
-    // An unproven configuration knows neither which keys still work nor which
-    // work by now; what it says of a key would be a guess.
+    // A stale configuration may miss both new and revoked keys.
     if (!can_verify_keys(n))
         return refuse(http::status::service_unavailable,
                       event_id::refused_unproven, "config-unproven",
                       unproven_retry);
-    const auto key = only_value(m, n.dialect.team_key);
+    const auto key = unique_value(m, n.dialect.team_key);
     const auto found = key ? find_key(c.keys, *key) : std::nullopt;
     if (!found)
         return refuse(http::status::unauthorized, event_id::refused_key,
                       key ? "unknown-key" : "no-key", 0);
-    place = *found;
+    index = *found;
     return std::nullopt;
 }
 
-/// How long a request may wait for its team's next token.
-span_us patience_for(const entry_request& r)
+span_us max_token_wait(const entry_request& r)
 {
-    return static_cast<span_us>(patience_share *
+    return static_cast<span_us>(token_wait_share *
                                 static_cast<double>(r.route->target_us));
 }
 
-void wait_turn(node_state& n, span_us wait, const yield& y)
+void wait_for(node_state& n, span_us wait, const yield& y)
 {
     if (wait <= 0)
         return;
@@ -145,26 +141,27 @@
 } // namespace
 
 std::vector<node_id> team_owners(const node_state& n, std::uint64_t team,
-                                 std::size_t most)
+                                 std::size_t max_count)
 {
     std::vector<std::pair<std::uint64_t, node_id>> ranks;
     ranks.reserve(n.view.nodes.size());
     for (const auto& [id, v] : n.view.nodes) {
-        const auto silent = n.silent_homes.find(id);
-        const bool asked = silent == n.silent_homes.end() ||
-                           mono_now() - silent->second > silence_memory;
-        if (v.state == liveness::alive && !v.record.leaving && asked)
+        const auto unresponsive = n.silent_homes.find(id);
+        const bool eligible =
+            unresponsive == n.silent_homes.end() ||
+            mono_now() - unresponsive->second > unresponsive_time;
+        if (v.state == liveness::alive && !v.record.leaving && eligible)
             ranks.emplace_back(mix_hash(team, static_cast<std::uint64_t>(id)),
                                id);
     }
-    const auto count = std::min(most, ranks.size());
+    const auto count = std::min(max_count, ranks.size());
     std::partial_sort(ranks.begin(),
                       ranks.begin() + static_cast<std::ptrdiff_t>(count),
                       ranks.end(), std::greater<>());
-    std::vector<node_id> homes;
+    std::vector<node_id> owners;
     for (std::size_t k = 0; k < count; ++k)
-        homes.push_back(ranks[k].second);
-    return homes;
+        owners.push_back(ranks[k].second);
+    return owners;
 }
 
 allowance_policy make_allowance_policy(const node_state& n)
@@ -200,13 +197,13 @@
 {
     r.priority = r.route->priority;
     if (!r.config->keys_required)
-        return take_word(n, r);
+        return accept_named_team(n, r);
     if (r.route->open)
         return std::nullopt;
-    std::uint32_t place = 0;
-    if (auto refused = check_key(n, *r.config, r.message, place))
+    std::uint32_t index = 0;
+    if (auto refused = check_key(n, *r.config, r.message, index))
         return refused;
-    take_team(r, place);
+    set_team(r, index);
     return std::nullopt;
 }
 
@@ -219,16 +216,16 @@
     const auto host = header_value(head, "host");
     const auto* r = find_route(*n.config, host.substr(0, host.find(':')),
                                target.substr(0, target.find('?')));
-    std::uint32_t place = 0;
+    std::uint32_t index = 0;
     return r == nullptr || r->open ? std::nullopt
-                                   : check_key(n, *n.config, head, place);
+                                   : check_key(n, *n.config, head, index);
 }
 
 void set_team_header(const node_state& n, entry_request& r)
 {
     r.message.erase(to_beast_view(n.dialect.team_key));
     if (!r.config->keys_required && n.dialect.explain)
-        return; // the caller's word goes on, as it is all that is known
+        return; // forwards the team that the caller names
     r.message.erase(to_beast_view(n.dialect.team));
     if (!r.team.empty())
         r.message.set(to_beast_view(n.dialect.team), r.team);
@@ -241,19 +238,20 @@
         return std::nullopt;
     auto answer =
         n.settings.experiment.has(mechanism::allowance_homes)
-            ? ask_homes(n, {r.team_key, r.limit, patience_for(r), false}, y)
+            ? request_grant(n, {r.team_hash, r.limit, max_token_wait(r), false},
+                            y)
             : std::nullopt;
-    const bool alone = !answer;
-    if (alone)
-        answer = take_own_part(n.own_parts, r.team_key, r.limit,
+    const bool no_owner = !answer;
+    if (no_owner)
+        answer = take_own_part(n.own_parts, r.team_hash, r.limit,
                                make_allowance_policy(n), mono_now());
     if (answer->granted) {
-        wait_turn(n, answer->wait, y);
+        wait_for(n, answer->wait, y);
         return std::nullopt;
     }
     auto refused =
         refuse(http::status::too_many_requests, event_id::refused_team_limit,
-               alone ? "team-limit-alone" : "team-limit", answer->wait);
+               no_owner ? "team-limit-alone" : "team-limit", answer->wait);
     refused.team = r.team;
     return refused;
 }
@@ -265,16 +263,16 @@
     if (!ask)
         return false;
     std::optional<allowance_answer> answer;
-    // Asked as the second home by a node that cannot reach the first: if this
-    // node can, the first one goes on counting alone.
-    const auto homes = team_owners(n, ask->team, 1);
-    if (!ask->forwarded && !homes.empty() && homes.front() != n.self.id) {
+    // A node that cannot reach the owner asks the next one. Forwarding to the
+    // owner keeps a single count of the team.
+    const auto owners = team_owners(n, ask->team, 1);
+    if (!ask->forwarded && !owners.empty() && owners.front() != n.self.id) {
         ask->forwarded = true;
-        answer = ask_node(n, homes.front(), *ask, y);
+        answer = request_grant_from(n, owners.front(), *ask, y);
     }
     if (!answer)
         answer =
-            take_allowance(n.allowances, ask->team, ask->limit, ask->patience,
+            take_allowance(n.allowances, ask->team, ask->limit, ask->max_wait,
                            make_allowance_policy(n), mono_now());
     return send_peer_reply(to, to_text(*answer), y);
 }
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -1,16 +1,16 @@
-// Policies of a hosted node; see experiment_func.hpp.
+// Applies the policies of a hosted node and the settings of experiments.
 #include "node/experiment_func.hpp"
 
 namespace jasminetray {
 
 namespace {
 
-span_us times(span_us t, double factor)
+span_us scale_time(span_us t, double factor)
 {
     return static_cast<span_us>(static_cast<double>(t) * factor);
 }
 
-void turn_off(node_state& n)
+void disable_mechanisms(node_state& n)
 {
     const auto& e = n.settings.experiment;
     auto& gate = n.door.limits;
@@ -31,16 +31,16 @@
         n.placing.refusal_memory = 0;
 }
 
-void scale(node_state& n, const scaled_tunable& x)
+void scale_parameter(node_state& n, const scaled_tunable& x)
 {
     auto& gate = n.door.limits;
     auto& place = n.placing;
     switch (x.what) {
     case tunable::refusal_memory:
-        place.refusal_memory = times(place.refusal_memory, x.factor);
+        place.refusal_memory = scale_time(place.refusal_memory, x.factor);
         break;
     case tunable::min_wait:
-        gate.min_wait = times(gate.min_wait, x.factor);
+        gate.min_wait = scale_time(gate.min_wait, x.factor);
         break;
     case tunable::probe_share:
         place.probe_share *= x.factor;
@@ -50,10 +50,10 @@
         place.far_share *= x.factor;
         break;
     case tunable::probe_every:
-        gate.doubt.probe_every = times(gate.doubt.probe_every, x.factor);
+        gate.doubt.probe_every = scale_time(gate.doubt.probe_every, x.factor);
         break;
     case tunable::sick_span:
-        gate.doubt.sick_span = times(gate.doubt.sick_span, x.factor);
+        gate.doubt.sick_span = scale_time(gate.doubt.sick_span, x.factor);
         n.balance.doubt.sick_span = gate.doubt.sick_span;
         break;
     }
@@ -63,9 +63,9 @@
 
 void apply_hosted_policies(node_state& n)
 {
-    turn_off(n);
+    disable_mechanisms(n);
     for (const auto& x : n.settings.experiment.scaled)
-        scale(n, x);
+        scale_parameter(n, x);
 }
 
 } // namespace jasminetray
--- a/src/node/experiment_func.hpp
+++ b/src/node/experiment_func.hpp
@@ -1,12 +1,12 @@
-// The policies of a hosted node, and what an experiment changes in them.
+// Policies of nodes on hosted VMs, with the changes of an experiment.
 #pragma once
 
 #include "node/node_state.hpp"
 
 namespace jasminetray {
 
-/// Turns on what is known of backend servers that the platform hosts, then
-/// turns off and scales what the settings' experiment names.
+/// Enables the policies for hosted backend servers, then disables mechanisms
+/// and scales parameters as the experiment settings say.
 void apply_hosted_policies(node_state& n);
 
 } // namespace jasminetray
--- a/src/node/hop_func.cpp
+++ b/src/node/hop_func.cpp
@@ -1,5 +1,5 @@
-// Text of the hop's field; see hop_type.hpp. Numbers are hex without leading
-// zeros, separated by commas, in the order of the members.
+// Encoding of the header field between nodes: hexadecimal numbers without
+// leading zeros, separated by commas, in the order of the members.
 #include "node/hop_type.hpp"
 
 #include "base/text_func.hpp"
@@ -10,24 +10,24 @@
 
 namespace {
 
-constexpr std::size_t request_parts = 9; // two more for non-idempotent work
-constexpr std::size_t answer_parts = 9;  // two more with a stamp
-const std::string no_reason = "-";       // splitting drops empty parts
+constexpr std::size_t request_parts = 9; // plus two if not idempotent
+constexpr std::size_t answer_parts = 9;  // plus two with a stamp
+const std::string empty_reason = "-";    // split() drops empty parts
 constexpr double load_scale = 100;
-constexpr double limit_scale = 1000;       // rates and bursts in thousandths
-constexpr std::size_t shorten_parts = 2;   // without the attempts
-constexpr std::size_t loan_parts = 3;      // of retries
-constexpr std::size_t ask_parts = 6;       // of a question for leave
-constexpr std::size_t allowance_parts = 2; // of its answer
+constexpr double limit_scale = 1000;     // rates and bursts in thousandths
+constexpr std::size_t shorten_parts = 2; // plus one per attempt
+constexpr std::size_t loan_parts = 3;
+constexpr std::size_t allowance_request_parts = 6;
+constexpr std::size_t allowance_answer_parts = 2;
 constexpr std::uint64_t idempotent_bit = 1;
 constexpr std::uint64_t probe_bit = 2;
-constexpr std::uint64_t resort_bit = 4;
-constexpr std::uint64_t leaving_bit = 8;
+constexpr std::uint64_t last_resort_bit = 4;
+constexpr std::uint64_t stopping_bit = 8;
 constexpr std::uint64_t failed_bit = 1;
 constexpr std::uint64_t reached_bit = 2;
 constexpr std::uint64_t suspect_bit = 4;
 
-void add(std::string& out, std::uint64_t n)
+void append_number(std::string& out, std::uint64_t n)
 {
     constexpr char digits[] = "0123456789abcdef";
     constexpr unsigned shift = 4;
@@ -40,30 +40,30 @@
     out += text;
 }
 
-void add_span(std::string& out, span_us t)
+void append_duration(std::string& out, span_us t)
 {
-    add(out, static_cast<std::uint64_t>(std::max<span_us>(0, t)));
+    append_number(out, static_cast<std::uint64_t>(std::max<span_us>(0, t)));
 }
 
-/// Takes numbers out of parts, one after the other.
-struct part_reader
+/// Parses consecutive parts as numbers.
+struct number_reader
 {
     const std::vector<std::string>& parts;
     std::size_t next = 0;
-    bool good = true;
+    bool valid = true;
 
-    std::uint64_t whole()
+    std::uint64_t number()
     {
         const auto n =
             next < parts.size() ? parse_hex(parts[next]) : std::nullopt;
         ++next;
-        good = good && n;
+        valid = valid && n;
         return n.value_or(0);
     }
 
-    span_us span()
+    span_us duration()
     {
-        return static_cast<span_us>(whole() & INT64_MAX);
+        return static_cast<span_us>(number() & INT64_MAX);
     }
 };
 
@@ -82,19 +82,20 @@
 std::string to_text(const hop_request& r)
 {
     std::string out = to_text(r.attempt);
-    add(out, static_cast<std::uint64_t>(r.worker));
-    add(out,
-        (r.idempotent ? idempotent_bit : 0) | (r.may_probe ? probe_bit : 0) |
-            (r.last_resort ? resort_bit : 0) | (r.leaving ? leaving_bit : 0));
-    add(out, static_cast<std::uint64_t>(r.priority));
-    add(out, r.route_class);
-    add(out, r.centre);
-    add_span(out, r.remaining);
-    add_span(out, r.elapsed);
-    add_span(out, r.target);
+    append_number(out, static_cast<std::uint64_t>(r.worker));
+    append_number(out, (r.idempotent ? idempotent_bit : 0) |
+                           (r.may_probe ? probe_bit : 0) |
+                           (r.last_resort ? last_resort_bit : 0) |
+                           (r.entry_stopping ? stopping_bit : 0));
+    append_number(out, static_cast<std::uint64_t>(r.priority));
+    append_number(out, r.route_class);
+    append_number(out, r.centre);
+    append_duration(out, r.remaining);
+    append_duration(out, r.elapsed);
+    append_duration(out, r.target);
     if (!r.idempotent) {
-        add(out, static_cast<std::uint64_t>(r.boot));
-        add_span(out, r.stamp);
+        append_number(out, static_cast<std::uint64_t>(r.boot));
+        append_duration(out, r.stamp);
     }
     return out;
 }
@@ -102,18 +103,20 @@
 std::string to_text(const hop_answer& a)
 {
     std::string out(1, static_cast<char>(a.outcome));
-    add(out, a.echo);
-    add(out, (a.failed ? failed_bit : 0) | (a.reached ? reached_bit : 0) |
-                 (a.suspect ? suspect_bit : 0));
-    add(out, static_cast<std::uint64_t>(std::lround(load_scale * a.load)));
-    add_span(out, a.work / us_per_ms);
-    add(out, static_cast<std::uint64_t>(a.doubt));
-    add(out, static_cast<std::uint64_t>(a.severity));
-    add_span(out, a.retry / us_per_ms);
-    out += ',' + (a.reason.empty() ? no_reason : a.reason);
+    append_number(out, a.echo);
+    append_number(out, (a.failed ? failed_bit : 0) |
+                           (a.reached ? reached_bit : 0) |
+                           (a.suspect ? suspect_bit : 0));
+    append_number(out,
+                  static_cast<std::uint64_t>(std::lround(load_scale * a.load)));
+    append_duration(out, a.baseline_work / us_per_ms);
+    append_number(out, static_cast<std::uint64_t>(a.failure_percent));
+    append_number(out, static_cast<std::uint64_t>(a.severity));
+    append_duration(out, a.retry_after / us_per_ms);
+    out += ',' + (a.reason.empty() ? empty_reason : a.reason);
     if (a.boot != boot_id{}) {
-        add(out, static_cast<std::uint64_t>(a.boot));
-        add_span(out, a.stamp);
+        append_number(out, static_cast<std::uint64_t>(a.boot));
+        append_duration(out, a.stamp);
     }
     return out;
 }
@@ -121,7 +124,7 @@
 std::string to_text(const shorten_notice& s)
 {
     std::string out(1, 's');
-    add_span(out, s.remaining);
+    append_duration(out, s.remaining);
     for (const auto& a : s.attempts)
         out += ',' + to_text(a);
     return out;
@@ -130,28 +133,28 @@
 std::string to_text(const retry_loan& l)
 {
     std::string out(1, 'r');
-    add(out, static_cast<std::uint64_t>(l.service));
-    add(out, static_cast<std::uint64_t>(std::max(0, l.count)));
+    append_number(out, static_cast<std::uint64_t>(l.service));
+    append_number(out, static_cast<std::uint64_t>(std::max(0, l.count)));
     return out;
 }
 
 std::string to_text(const allowance_request& a)
 {
     std::string out(1, a.forwarded ? 'p' : 'a');
-    add(out, a.team);
-    add(out, a.limit.version);
-    add(out,
-        static_cast<std::uint64_t>(std::llround(limit_scale * a.limit.rate)));
-    add(out,
-        static_cast<std::uint64_t>(std::llround(limit_scale * a.limit.burst)));
-    add_span(out, a.patience / us_per_ms);
+    append_number(out, a.team);
+    append_number(out, a.limit.version);
+    append_number(out, static_cast<std::uint64_t>(
+                           std::llround(limit_scale * a.limit.rate)));
+    append_number(out, static_cast<std::uint64_t>(
+                           std::llround(limit_scale * a.limit.burst)));
+    append_duration(out, a.max_wait / us_per_ms);
     return out;
 }
 
 std::string to_text(const allowance_answer& a)
 {
     std::string out(1, a.granted ? 'y' : 'n');
-    add_span(out, a.wait / us_per_ms);
+    append_duration(out, a.wait / us_per_ms);
     return out;
 }
 
@@ -161,16 +164,16 @@
     if (parts.size() < shorten_parts || parts.front() != "s" ||
         parts.size() > shorten_parts + max_shortened_attempts)
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     shorten_notice s;
-    s.remaining = in.span();
+    s.remaining = in.duration();
     while (in.next < parts.size()) {
         const auto a = parse_attempt_id(parts[in.next++]);
         if (!a)
             return std::nullopt;
         s.attempts.push_back(*a);
     }
-    return in.good ? std::make_optional(std::move(s)) : std::nullopt;
+    return in.valid ? std::make_optional(std::move(s)) : std::nullopt;
 }
 
 std::optional<retry_loan> parse_retry_loan(const std::string& text)
@@ -178,28 +181,28 @@
     const auto parts = split(text, ',');
     if (parts.size() != loan_parts || parts.front() != "r")
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     retry_loan l;
-    l.service = static_cast<service_id>(in.whole());
-    l.count = static_cast<int>(in.whole() & INT32_MAX);
-    return in.good ? std::make_optional(l) : std::nullopt;
+    l.service = static_cast<service_id>(in.number());
+    l.count = static_cast<int>(in.number() & INT32_MAX);
+    return in.valid ? std::make_optional(l) : std::nullopt;
 }
 
 std::optional<allowance_request>
 parse_allowance_request(const std::string& text)
 {
     const auto parts = split(text, ',');
-    if (parts.size() != ask_parts)
+    if (parts.size() != allowance_request_parts)
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     allowance_request a;
     a.forwarded = parts.front() == "p";
-    a.team = in.whole();
-    a.limit.version = in.whole();
-    a.limit.rate = static_cast<double>(in.whole()) / limit_scale;
-    a.limit.burst = static_cast<double>(in.whole()) / limit_scale;
-    a.patience = in.span() * us_per_ms;
-    if (!in.good || (!a.forwarded && parts.front() != "a"))
+    a.team = in.number();
+    a.limit.version = in.number();
+    a.limit.rate = static_cast<double>(in.number()) / limit_scale;
+    a.limit.burst = static_cast<double>(in.number()) / limit_scale;
+    a.max_wait = in.duration() * us_per_ms;
+    if (!in.valid || (!a.forwarded && parts.front() != "a"))
         return std::nullopt;
     return a;
 }
@@ -207,13 +210,13 @@
 std::optional<allowance_answer> parse_allowance_answer(const std::string& text)
 {
     const auto parts = split(text, ',');
-    if (parts.size() != allowance_parts)
+    if (parts.size() != allowance_answer_parts)
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     allowance_answer a;
     a.granted = parts.front() == "y";
-    a.wait = in.span() * us_per_ms;
-    if (!in.good || (!a.granted && parts.front() != "n"))
+    a.wait = in.duration() * us_per_ms;
+    if (!in.valid || (!a.granted && parts.front() != "n"))
         return std::nullopt;
     return a;
 }
@@ -226,26 +229,26 @@
     const auto attempt = parse_attempt_id(parts.front());
     if (!attempt)
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     hop_request r;
     r.attempt = *attempt;
-    r.worker = static_cast<worker_id>(in.whole());
-    const auto bits = in.whole();
+    r.worker = static_cast<worker_id>(in.number());
+    const auto bits = in.number();
     r.idempotent = (bits & idempotent_bit) != 0;
     r.may_probe = (bits & probe_bit) != 0;
-    r.last_resort = (bits & resort_bit) != 0;
-    r.leaving = (bits & leaving_bit) != 0;
-    r.priority = static_cast<int>(in.whole() & INT32_MAX);
-    r.route_class = static_cast<std::uint32_t>(in.whole());
-    r.centre = static_cast<std::uint32_t>(in.whole());
-    r.remaining = in.span();
-    r.elapsed = in.span();
-    r.target = in.span();
+    r.last_resort = (bits & last_resort_bit) != 0;
+    r.entry_stopping = (bits & stopping_bit) != 0;
+    r.priority = static_cast<int>(in.number() & INT32_MAX);
+    r.route_class = static_cast<std::uint32_t>(in.number());
+    r.centre = static_cast<std::uint32_t>(in.number());
+    r.remaining = in.duration();
+    r.elapsed = in.duration();
+    r.target = in.duration();
     if (!r.idempotent) {
-        r.boot = static_cast<boot_id>(in.whole());
-        r.stamp = in.span();
+        r.boot = static_cast<boot_id>(in.number());
+        r.stamp = in.duration();
     }
-    if (!in.good || in.next != parts.size())
+    if (!in.valid || in.next != parts.size())
         return std::nullopt;
     return r;
 }
@@ -255,31 +258,31 @@
     const auto parts = split(text, ',');
     if (parts.size() < answer_parts || parts.front().size() != 1)
         return std::nullopt;
-    part_reader in{parts, 1};
+    number_reader in{parts, 1};
     hop_answer a;
     a.outcome = static_cast<hop_outcome>(parts.front()[0]);
-    a.echo = static_cast<std::uint32_t>(in.whole());
-    const auto bits = in.whole();
+    a.echo = static_cast<std::uint32_t>(in.number());
+    const auto bits = in.number();
     a.failed = (bits & failed_bit) != 0;
     a.reached = (bits & reached_bit) != 0;
     a.suspect = (bits & suspect_bit) != 0;
-    a.load = static_cast<double>(in.whole()) / load_scale;
-    a.work = in.span() * us_per_ms;
-    a.doubt = static_cast<int>(in.whole() & INT32_MAX);
-    a.severity = static_cast<int>(in.whole() & INT32_MAX);
-    a.retry = in.span() * us_per_ms;
+    a.load = static_cast<double>(in.number()) / load_scale;
+    a.baseline_work = in.duration() * us_per_ms;
+    a.failure_percent = static_cast<int>(in.number() & INT32_MAX);
+    a.severity = static_cast<int>(in.number() & INT32_MAX);
+    a.retry_after = in.duration() * us_per_ms;
     if (in.next < parts.size())
         a.reason = parts[in.next++];
-    if (a.reason == no_reason)
+    if (a.reason == empty_reason)
         a.reason.clear();
     if (in.next < parts.size()) {
-        a.boot = static_cast<boot_id>(in.whole());
-        a.stamp = in.span();
+        a.boot = static_cast<boot_id>(in.number());
+        a.stamp = in.duration();
     }
     const bool known = a.outcome == hop_outcome::answer ||
                        a.outcome == hop_outcome::not_run ||
                        a.outcome == hop_outcome::unknown;
-    if (!known || !in.good || in.next != parts.size())
+    if (!known || !in.valid || in.next != parts.size())
         return std::nullopt;
     return a;
 }
--- a/src/node/hop_type.hpp
+++ b/src/node/hop_type.hpp
@@ -1,7 +1,5 @@
-// What an entry node and an exit node tell each other beside a request and
-// its answer: one short header field each way. Bytes between data centres
-// cost the users more than anything else here; as twelve fields with full
-// names the same took 600 bytes of a hop whose bodies are 1,500 on average.
+// Metadata of requests and answers between nodes. One compact header field in
+// each direction carries it, to save traffic between data centres.
 #pragma once
 
 #include "base/id_type.hpp"
@@ -15,122 +13,101 @@
 
 namespace jasminetray {
 
-/// Name of the field; callers and backend servers never see it.
+/// Name of the header field; it is never sent to callers or backend servers.
 inline constexpr char hop_header[] = "jt";
 
-/// From the entry node.
+/// Metadata of a request from an entry node to an exit node.
 struct hop_request
 {
-    attempt_id attempt;            ///< echoed, as a hash
-    worker_id worker{};            ///< chosen one
-    bool idempotent = false;       ///< may run more than once
-    bool may_probe = false;        ///< a failure would be tried again elsewhere
-    bool last_resort = false;      ///< found no room elsewhere
-    bool leaving = false;          ///< the entry node ends at the deadline
-    int priority = 5;              ///< of the route
-    std::uint32_t route_class = 0; ///< of the route
-    std::uint32_t centre = 0;      ///< data centre of the entry node, hashed
+    attempt_id attempt;          ///< the answer echoes its hash
+    worker_id worker{};          ///< selected backend server
+    bool idempotent = false;     ///< may run more than once
+    bool may_probe = false;      ///< a failure would be retried elsewhere
+    bool last_resort = false;    ///< all other gates refused it
+    bool entry_stopping = false; ///< the entry node stops at the deadline
+    int priority = 5;
+    std::uint32_t route_class = 0; ///< hash of the route's name
+    std::uint32_t centre = 0;      ///< hash of the entry node's data centre
     span_us remaining = 0;         ///< until the deadline
     span_us elapsed = 0;           ///< since the caller's request was read
-    span_us target = 0;            ///< of the route; 0 for none
-    boot_id boot{};    ///< process that is meant; non-idempotent only
-    mono_us stamp = 0; ///< of its clock; non-idempotent only
+    span_us target = 0;            ///< latency target; 0 for none
+    boot_id boot{};    ///< expected exit process; non-idempotent only
+    mono_us stamp = 0; ///< newest clock stamp of it; non-idempotent only
 };
 
-/// What became of an attempt.
+/// Result of an attempt; the values are sent between nodes.
 enum class hop_outcome : char
 {
-    answer = 'a',  ///< a backend server's answer
-    not_run = 'n', ///< it did not run and never will
-    unknown = 'u', ///< it may have run
+    answer = 'a',  ///< a backend server answered
+    not_run = 'n', ///< did not run and never will
+    unknown = 'u', ///< may have run
 };
 
-/// From the exit node.
+/// Metadata of an answer from an exit node to an entry node.
 struct hop_answer
 {
     std::uint32_t echo = 0; ///< hash of the attempt
     hop_outcome outcome{};
-    bool failed = false;  ///< the backend server's own failure
-    bool reached = false; ///< not run: the backend server turned it away
-    double load = 0;      ///< of its gate, per slot
-    span_us work = 0;     ///< that its work usually takes
-    int doubt = 0;        ///< percent; how likely it is sick
-    bool suspect = false; ///< work is held back from it
-    int severity = 0;     ///< claim about it
-    span_us retry = 0;    ///< refusals: when to come back
-    std::string reason;   ///< of a refusal
-    boot_id boot{};       ///< of the exit node's process; 0 when left out
-    mono_us stamp = 0;    ///< of its clock
+    bool failed = false;       ///< the backend server reported a failure
+    bool reached = false;      ///< not run: the backend server rejected it
+    double load = 0;           ///< of the server's gate, per slot
+    span_us baseline_work = 0; ///< baseline duration of work
+    int failure_percent = 0;   ///< failure probability
+    bool suspect = false;      ///< the server only gets probe traffic
+    int severity = 0;          ///< of the ejection request for the server
+    span_us retry_after = 0;   ///< of a refusal
+    std::string reason;        ///< of a refusal
+    boot_id boot{};            ///< exit node's process; 0 when absent
+    mono_us stamp = 0;         ///< clock of that process
 };
 
-/// An entry node's question to a team's home: may one more request pass?
+/// An entry node's request to a team's owner node for one grant.
 struct allowance_request
 {
     std::uint64_t team = 0; ///< hash of its name
     team_limit limit;
-    span_us patience = 0;   ///< that the request has
-    bool forwarded = false; ///< by a node that is not the home itself
+    span_us max_wait = 0;   ///< longest wait for a token
+    bool forwarded = false; ///< a node that is not the owner forwarded it
 };
 
-/// Attempts that one shorten_notice names at most; more go into the next, so
-/// that a head stays within the 8 KB that the HTTP library reads.
+/// Maximum number of attempts in one shorten_notice; keeps the header within
+/// the 8 KB limit of the HTTP library.
 inline constexpr std::size_t max_shortened_attempts = 64;
 
-/// From an entry node that stops: work that an exit node has of it is of use
-/// only so long.
+/// Notice of a stopping entry node that its attempts get a shorter deadline.
 struct shorten_notice
 {
-    span_us remaining = 0; ///< until the entry node gives its last answers
-    std::vector<attempt_id>
-        attempts; ///< invariant: at most max_shortened_attempts
+    span_us remaining = 0; ///< until the entry node stops
+    /// Invariant: at most max_shortened_attempts.
+    std::vector<attempt_id> attempts;
 };
 
-/// A node that stops asks another one for retries that it has left, and is
-/// told how many it may send in its place.
+/// Request of a stopping node for retries of another node's budget, and the
+/// answer to it.
 struct retry_loan
 {
     service_id service{}; ///< whose backend servers are retried
-    int count = 0;        ///< wanted, or granted
+    int count = 0;        ///< requested, or granted
 };
 
-/// Field text.
-std::string to_text(const retry_loan& l);
-
-/// Parses what to_text() gave, or nothing.
-std::optional<retry_loan> parse_retry_loan(const std::string& text);
+/// Returns the hash of an attempt that its answer echoes.
+std::uint32_t attempt_echo(const attempt_id& a);
 
-/// Field text.
+/// Encode the value of the header field.
+std::string to_text(const hop_request& r);
+std::string to_text(const hop_answer& a);
 std::string to_text(const shorten_notice& s);
-
-/// Parses what to_text() gave, or nothing.
-std::optional<shorten_notice> parse_shorten_notice(const std::string& text);
-
-/// Field text.
+std::string to_text(const retry_loan& l);
 std::string to_text(const allowance_request& a);
-
-/// Field text.
 std::string to_text(const allowance_answer& a);
 
-/// Parses what to_text() gave, or nothing.
+/// Decode the output of to_text(); nothing when malformed.
+std::optional<hop_request> parse_hop_request(const std::string& text);
+std::optional<hop_answer> parse_hop_answer(const std::string& text);
+std::optional<shorten_notice> parse_shorten_notice(const std::string& text);
+std::optional<retry_loan> parse_retry_loan(const std::string& text);
 std::optional<allowance_request>
 parse_allowance_request(const std::string& text);
-
-/// Parses what to_text() gave, or nothing.
 std::optional<allowance_answer> parse_allowance_answer(const std::string& text);
 
-/// Hash that an answer echoes.
-std::uint32_t attempt_echo(const attempt_id& a);
-
-/// Field text.
-std::string to_text(const hop_request& r);
-
-/// Field text.
-std::string to_text(const hop_answer& a);
-
-/// Parses what to_text() gave, or nothing.
-std::optional<hop_request> parse_hop_request(const std::string& text);
-
-/// Parses what to_text() gave, or nothing.
-std::optional<hop_answer> parse_hop_answer(const std::string& text);
-
 } // namespace jasminetray
--- a/src/node/http_func.cpp
+++ b/src/node/http_func.cpp
@@ -1,4 +1,4 @@
-// Helpers over Beast; see http_func.hpp.
+// HTTP helpers on top of Boost.Beast.
 #include "node/http_func.hpp"
 
 #include <algorithm>
@@ -15,9 +15,9 @@
     "te",         "proxy-authorization", "trailer",
     "upgrade",    "transfer-encoding"};
 
-/// Sends the body that the parser holds now and empties it.
-bool send_part(response_parser& parser, beast::tcp_stream& to, bool chunked,
-               const yield& y)
+/// Sends the buffered part of the body and clears it.
+bool send_buffered(response_parser& parser, beast::tcp_stream& to, bool chunked,
+                   const yield& y)
 {
     auto& body = parser.get().body();
     if (body.empty())
@@ -35,53 +35,54 @@
 
 void set_path_timeouts(tcp::socket& s, bool on)
 {
-    constexpr int unsent_ms = 1500; // three sends at the usual first timeouts
-    constexpr int idle_s = 1;       // until the first keep-alive probe
+    constexpr int user_timeout_ms = 1500; // allows for two retransmissions
+    constexpr int idle_s = 1;
     constexpr int interval_s = 1;
-    constexpr int probes = 2; // lost in a row: three in ten may be on bad days
+    constexpr int probes = 2; // one lost probe is no failure
     const int fd = s.native_handle();
     const int enabled = on ? 1 : 0;
-    const int bound = on ? unsent_ms : 0;
+    const int user_timeout = on ? user_timeout_ms : 0;
     ::setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &enabled, sizeof(enabled));
     ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof(idle_s));
     ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s,
                  sizeof(interval_s));
     ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
-    ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &bound, sizeof(bound));
+    ::setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout,
+                 sizeof(user_timeout));
 }
 
 std::unique_ptr<http_connection> take_idle_connection(connection_pool& pool,
                                                       mono_us idle_since)
 {
     while (!pool.empty()) {
-        auto link = std::move(pool.back());
+        auto connection = std::move(pool.back());
         pool.pop_back();
         beast::error_code ec;
-        const auto unread = link->stream.socket().available(ec);
-        if (!ec && unread == 0 && link->buf.size() == 0 &&
-            link->last_used >= idle_since &&
-            !peer_closed(link->stream.socket()))
-            return link;
+        const auto unread = connection->stream.socket().available(ec);
+        if (!ec && unread == 0 && connection->buf.size() == 0 &&
+            connection->last_used >= idle_since &&
+            !peer_closed(connection->stream.socket()))
+            return connection;
     }
     return nullptr;
 }
 
 void return_connection(connection_pool& pool,
-                       std::unique_ptr<http_connection> link, std::size_t most,
-                       mono_us now)
+                       std::unique_ptr<http_connection> connection,
+                       std::size_t max_idle, mono_us now)
 {
-    if (pool.size() >= most)
+    if (pool.size() >= max_idle)
         return;
-    set_path_timeouts(link->stream.socket(), false);
-    link->last_used = now;
-    link->used = true;
-    link->stream.expires_never();
-    pool.push_back(std::move(link));
+    set_path_timeouts(connection->stream.socket(), false);
+    connection->last_used = now;
+    connection->used = true;
+    connection->stream.expires_never();
+    pool.push_back(std::move(connection));
 }
 
-bool is_reusable(const http_connection& link, bool keep_alive)
+bool is_reusable(const http_connection& connection, bool keep_alive)
 {
-    return keep_alive && link.buf.size() == 0;
+    return keep_alive && connection.buf.size() == 0;
 }
 
 void strip_hop_fields(http::fields& f)
@@ -91,19 +92,20 @@
     f.erase(hop_header);
 }
 
-beast::error_code read_buffered(http_connection& link, response_parser& parser,
-                                std::size_t hold, const yield& y)
+beast::error_code read_buffered(http_connection& connection,
+                                response_parser& parser, std::size_t max_body,
+                                const yield& y)
 {
     beast::error_code ec;
-    http::async_read_header(link.stream, link.buf, parser, y[ec]);
-    while (!ec && !parser.is_done() && parser.get().body().size() <= hold)
-        http::async_read_some(link.stream, link.buf, parser, y[ec]);
+    http::async_read_header(connection.stream, connection.buf, parser, y[ec]);
+    while (!ec && !parser.is_done() && parser.get().body().size() <= max_body)
+        http::async_read_some(connection.stream, connection.buf, parser, y[ec]);
     return ec;
 }
 
 bool relay_answer(http_connection& from, response_parser& parser,
                   http::response_header<> head, beast::tcp_stream& to,
-                  span_us idle_bound, const yield& y)
+                  span_us idle_timeout, const yield& y)
 {
     const auto length = parser.content_length();
     http::response<http::empty_body> start(std::move(head));
@@ -114,13 +116,13 @@
         start.chunked(true);
     http::response_serializer<http::empty_body> serializer(start);
     beast::error_code ec;
-    to.expires_after(std::chrono::microseconds(idle_bound));
+    to.expires_after(std::chrono::microseconds(idle_timeout));
     http::async_write_header(to, serializer, y[ec]);
-    while (!ec && send_part(parser, to, !length, y)) {
+    while (!ec && send_buffered(parser, to, !length, y)) {
         if (parser.is_done())
             break;
-        from.stream.expires_after(std::chrono::microseconds(idle_bound));
-        to.expires_after(std::chrono::microseconds(idle_bound));
+        from.stream.expires_after(std::chrono::microseconds(idle_timeout));
+        to.expires_after(std::chrono::microseconds(idle_timeout));
         http::async_read_some(from.stream, from.buf, parser, y[ec]);
     }
     if (ec || !parser.is_done() || !parser.get().body().empty())
--- a/src/node/http_type.hpp
+++ b/src/node/http_type.hpp
@@ -1,5 +1,5 @@
-// Names of the HTTP layer: the library's namespaces, the fields that nodes
-// add between each other, and a connection with its buffer.
+// Types of the HTTP layer: library aliases, header fields, paths that nodes
+// serve to each other, and pooled connections.
 #pragma once
 
 #include "base/id_type.hpp"
@@ -27,7 +27,7 @@
 using string_response = http::response<http::string_body>;
 using response_parser = http::response_parser<http::string_body>;
 
-/// Fields that callers see.
+/// Header fields of callers' requests and responses.
 namespace caller_field {
 inline constexpr char outcome[] = "jasminetray-outcome";
 inline constexpr char reason[] = "jasminetray-reason";
@@ -37,16 +37,16 @@
 inline constexpr char key[] = "idempotency-key";
 } // namespace caller_field
 
-/// Path that a node answers itself with its boot id and a fresh stamp.
+/// Path at which an exit node returns its boot id and a fresh stamp.
 inline constexpr char ping_path[] = "/.jasminetray/ping";
 
-/// Path at which an exit node hears that an entry node stops.
+/// Path for notices that an entry node stops and shortens deadlines.
 inline constexpr char shorten_path[] = "/.jasminetray/shorten";
 
-/// Path at which a node that stops borrows retries.
+/// Path for retry loans to a node that is stopping.
 inline constexpr char retry_path[] = "/.jasminetray/retry";
 
-/// Path at which a team's home grants leave for requests.
+/// Path for grant requests to a team's owner node.
 inline constexpr char allowance_path[] = "/.jasminetray/leave";
 
 /// A connection that carries one request at a time.
@@ -58,12 +58,12 @@
 
     beast::tcp_stream stream;
     beast::flat_buffer buf;
-    mono_us last_used = 0; ///< when its last answer was complete
+    mono_us last_used = 0; ///< when its last exchange ended
     bool used = false;     ///< carried a request before
 };
 
-/// Idle connections to one place. Invariant: each ended its last exchange
-/// completely, with no unread bytes.
+/// Idle connections to one endpoint. Invariant: the last exchange of each is
+/// complete, with no unread bytes.
 using connection_pool = std::vector<std::unique_ptr<http_connection>>;
 
 } // namespace jasminetray
--- a/src/node/key_claim.cpp
+++ b/src/node/key_claim.cpp
@@ -1,4 +1,4 @@
-// Idempotency keys; see key_claim.hpp.
+// Checks idempotency keys and claims them in the table service.
 #include "node/key_claim.hpp"
 
 #include "base/text_func.hpp"
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr char key_table[] = "jasminetray-keys";
-constexpr int max_claims = 256; // waiting for the table service
+constexpr int max_claims = 256; // concurrent calls to the table service
 
-/// Writes the claim on an idempotency key, off the request thread.
+/// Claims an idempotency key in the table service, off the request thread.
+/// @param first output: id of the request that owns the key already
 /// @return none when this request owns the key
 store_error claim_key(node_state& n, const std::string& row,
                       const std::string& owner, std::string& first,
@@ -30,19 +31,19 @@
     signal->expires_at(asio::steady_timer::time_point::max());
     auto store = n.store;
     asio::post(*n.slow_calls, [=, &ctx = n.ctx] {
-        store_error last{};
-        store.write_rows({{{key_table, row}, 0, owner, false}}, last);
-        // A lost answer or a conflict is settled by reading whose it is.
-        if (last != store_error::none) {
+        store_error result{};
+        store.write_rows({{{key_table, row}, 0, owner, false}}, result);
+        // After a lost answer or a conflict, reads the row to find its owner.
+        if (result != store_error::none) {
             store_error read{};
             const auto found = store.read_row({key_table, row}, read);
             if (found)
                 state->first = found->value;
-            last = !found                  ? store_error::unclear
-                   : found->value == owner ? store_error::none
-                                           : store_error::conflict;
+            result = !found                  ? store_error::unclear
+                     : found->value == owner ? store_error::none
+                                             : store_error::conflict;
         }
-        state->error = last;
+        state->error = result;
         asio::post(ctx, [signal] { signal->cancel(); });
     });
     beast::error_code ec;
@@ -64,10 +65,10 @@
     const auto hash = text_hash(r.route->name + "\n" + key);
     refusal x;
     if (r.route->keys == key_mode::home) {
-        const auto& all = n.view.services[r.service_key].candidates;
-        const auto at = home_worker(all, hash);
-        if (at)
-            r.home = all[*at].id;
+        const auto& candidates = n.view.services[r.service_key].candidates;
+        const auto index = home_worker(candidates, hash);
+        if (index)
+            r.pinned_worker = candidates[*index].id;
         return std::nullopt;
     }
     std::string first;
--- a/test/test_hop.cpp
+++ b/test/test_hop.cpp
@@ -1,5 +1,4 @@
-// The field between nodes: what one writes the other reads, and nothing else
-// passes for it.
+// Encoding of the header field between nodes: round trips and malformed input.
 #include "node/hop_type.hpp"
 #include "platform/dialect.hpp"
 
@@ -9,7 +8,7 @@
 namespace jasminetray {
 namespace {
 
-TEST(hop, a_request_comes_out_as_it_went_in)
+TEST(hop, request_round_trip)
 {
     rc::check("round trip", [] {
         hop_request r;
@@ -20,7 +19,7 @@
         r.worker = static_cast<worker_id>(*rc::gen::arbitrary<std::uint64_t>());
         r.idempotent = *rc::gen::arbitrary<bool>();
         r.may_probe = *rc::gen::arbitrary<bool>();
-        r.leaving = *rc::gen::arbitrary<bool>();
+        r.entry_stopping = *rc::gen::arbitrary<bool>();
         r.priority = *rc::gen::inRange(0, 1000);
         r.centre = *rc::gen::arbitrary<std::uint32_t>();
         r.remaining = *rc::gen::inRange<span_us>(0, 60 * us_per_s);
@@ -34,7 +33,7 @@
         RC_ASSERT(back->worker == r.worker);
         RC_ASSERT(back->idempotent == r.idempotent);
         RC_ASSERT(back->may_probe == r.may_probe);
-        RC_ASSERT(back->leaving == r.leaving);
+        RC_ASSERT(back->entry_stopping == r.entry_stopping);
         RC_ASSERT(back->priority == r.priority);
         RC_ASSERT(back->centre == r.centre);
         RC_ASSERT(back->remaining == r.remaining);
@@ -47,7 +46,7 @@
     });
 }
 
-TEST(hop, an_answer_comes_out_as_it_went_in)
+TEST(hop, answer_round_trip)
 {
     hop_answer a;
     a.echo = 0xdeadbeef;
@@ -55,10 +54,10 @@
     a.reached = true;
     a.suspect = true;
     a.load = 1.25;
-    a.work = 520 * us_per_ms;
-    a.doubt = 93;
+    a.baseline_work = 520 * us_per_ms;
+    a.failure_percent = 93;
     a.severity = 40;
-    a.retry = 700 * us_per_ms;
+    a.retry_after = 700 * us_per_ms;
     a.boot = static_cast<boot_id>(5);
     a.stamp = 77;
     for (const char* reason : {"", "queue-full"}) {
@@ -70,7 +69,7 @@
     }
 }
 
-TEST(hop, other_text_is_refused)
+TEST(hop, malformed_text_is_rejected)
 {
     for (const char* text : {"", "a", "x,1,2,3,4,5,6,7,-", "a,1,2,3",
                              "n,1,zz,3,4,5,6,7,-", "a,1,0,0,0,0,0,0,-,5"}) {
@@ -79,17 +78,18 @@
     }
 }
 
-TEST(dialect, the_platforms_names_are_all_set)
+TEST(dialect, all_platform_field_names_are_set)
 {
     const auto d = make_platform_dialect();
     EXPECT_TRUE(d.preserve_request_id);
     EXPECT_FALSE(d.explain);
-    for (const auto name : {d.request, d.deadline, d.not_run, d.load, d.worker,
-                            d.expected_worker, d.caller_service, d.proof})
+    for (const auto name :
+         {d.request, d.deadline, d.not_run, d.load, d.worker, d.expected_worker,
+          d.caller_service, d.response_seal})
         EXPECT_FALSE(name.empty());
 }
 
-TEST(hop, a_retry_loan_comes_out_as_it_went_in)
+TEST(hop, retry_loan_round_trip)
 {
     const retry_loan loan{static_cast<service_id>(UINT64_MAX), 3};
     const auto back = parse_retry_loan(to_text(loan));
