--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -1,6 +1,6 @@
 // Network I/O of attempts: connections, pings, messages and answers.
 #include "base/text_func.hpp"
-#include "node/entry_run.hpp"
+#include "node/entry_request.hpp"
 #include "node/http_func.hpp"
 #include "node/quarantine_driver.hpp"
 
--- a/src/node/entry_refusal.hpp
+++ b/src/node/entry_refusal.hpp
@@ -2,7 +2,7 @@
 // answer.
 #pragma once
 
-#include "node/entry_run.hpp"
+#include "node/entry_request.hpp"
 
 namespace jasminetray {
 
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -8,7 +8,7 @@
 #include "node/entry_refusal.hpp"
 #include "node/entry_team.hpp"
 #include "node/http_func.hpp"
-#include "node/key_claim.hpp"
+#include "node/idempotency_key.hpp"
 #include "node/quarantine_driver.hpp"
 
 #include <cmath>
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -4,7 +4,7 @@
 #include "attempt/attempt_func.hpp"
 #include "base/text_func.hpp"
 #include "limit/limit_type.hpp"
-#include "node/entry_run.hpp"
+#include "node/entry_request.hpp"
 #include "node/http_func.hpp"
 #include "node/peer_request.hpp"
 
--- a/src/node/key_claim.cpp
+++ b/src/node/idempotency_key.cpp
@@ -1,5 +1,5 @@
 // Checks idempotency keys and claims them in the table service.
-#include "node/key_claim.hpp"
+#include "node/idempotency_key.hpp"
 
 #include "base/text_func.hpp"
 #include "node/http_func.hpp"
--- a/src/node/peer_request.cpp
+++ b/src/node/peer_request.cpp
@@ -1,7 +1,7 @@
 // Requests to other nodes; see peer_request.hpp.
 #include "node/peer_request.hpp"
 
-#include "node/entry_run.hpp"
+#include "node/entry_request.hpp"
 #include "node/http_func.hpp"
 
 namespace jasminetray {
