--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -259,7 +259,8 @@
     auto before = cpu_now();
     for (int k = 0; k < rounds; ++k) {
         for (std::size_t s = 0; s < 1600; ++s)
-            view_apply(*v, static_cast<service_id>(s), c, paths, us_per_s);
+            view_apply_ejections(*v, static_cast<service_id>(s), c, paths,
+                                 us_per_s);
     }
     const double apply = (cpu_now() - before) / rounds;
     before = cpu_now();
--- a/bench/ejection_core.cpp
+++ b/bench/ejection_core.cpp
@@ -15,9 +15,9 @@
 constexpr span_us cold_span = 10 * us_per_s;
 
 /// What a long healthy past has taught.
-service_usual learned_usual()
+service_baseline learned_usual()
 {
-    service_usual u;
+    service_baseline u;
     u.fail_rate = usual_fail;
     for (auto& t : u.times) {
         t.log_mean = std::log(usual_ms * us_per_ms);
@@ -31,28 +31,28 @@
 class core final : public bench_detector
 {
 public:
-    core(const bench_size& size, const verdict_policy& policy)
+    core(const bench_size& size, const outlier_policy& policy)
         : size_(size), policy_(policy), health_(size.workers),
           count_(size.workers)
     {
         for (auto& h : health_)
-            h.usual = learned_usual();
+            h.baseline = learned_usual();
         apply();
     }
 
     void sent(std::size_t worker, std::uint64_t key, std::uint32_t source,
               mono_us now) override
     {
-        health_sent(health_[worker], {key, now, source, 0});
+        health_record_sent(health_[worker], {key, now, source, 0});
     }
 
     void seen(const bench_outcome& o, mono_us now) override
     {
         const auto kind = o.neutral  ? outcome_kind::neutral
                           : o.failed ? outcome_kind::failed
-                                     : outcome_kind::good;
-        health_seen(health_[o.worker], policy_, o.key,
-                    {kind, o.took, o.source, 0}, now);
+                                     : outcome_kind::success;
+        health_record_outcome(health_[o.worker], policy_, o.key,
+                              {kind, o.took, o.source, 0}, now);
         check(o.worker, now);
     }
 
@@ -70,7 +70,7 @@
 
     void restarted(std::size_t worker, mono_us now) override
     {
-        health_[worker].cold_until = now + cold_span;
+        health_[worker].cold_start_until = now + cold_span;
     }
 
     double weight(std::size_t worker, std::uint32_t source) const override
@@ -102,7 +102,7 @@
 private:
     std::uint32_t scope(std::size_t worker) const
     {
-        return health_[worker].state == standing::ejected
+        return health_[worker].state == ejection_state::ejected
                    ? health_[worker].scope
                    : all_sources;
     }
@@ -111,13 +111,13 @@
     {
         auto& h = health_[n];
         auto step = health_check(h, policy_, now);
-        if (step == verdict_step::ask_peers)
-            step = health_judge(h, policy_, reports(n, now), now);
-        if (step == verdict_step::eject) {
+        if (step == outlier_action::ask_peers)
+            step = health_compare_peers(h, policy_, reports(n, now), now);
+        if (step == outlier_action::eject) {
             ++count_[n];
             health_eject(h, policy_, now);
             apply_at(now);
-        } else if (step == verdict_step::restore) {
+        } else if (step == outlier_action::restore) {
             health_restore(h, policy_, now);
             apply_at(now);
         }
@@ -125,10 +125,10 @@
 
     std::vector<peer_report> reports(std::size_t worker, mono_us now)
     {
-        const auto s = health_suspect(health_[worker], policy_, now);
+        const auto s = health_suspicion(health_[worker], policy_, now);
         std::vector<peer_report> all;
         for (std::size_t n = 0; n < health_.size(); ++n) {
-            if (n != worker && health_[n].state == standing::trusted)
+            if (n != worker && health_[n].state == ejection_state::trusted)
                 all.push_back(
                     health_report(health_[n], policy_, s.since, s.scope));
         }
@@ -146,23 +146,23 @@
 
     void apply()
     {
-        std::vector<claim> claims;
+        std::vector<ejection_request> claims;
         for (std::size_t n = 0; n < health_.size(); ++n) {
-            claim c;
+            ejection_request c;
             c.id = static_cast<worker_id>(n);
             c.slots = 1;
             c.severity = health_severity(health_[n], policy_, now_);
             claims.push_back(c);
         }
-        applied_ = apply_claims(claims, size_.floor *
-                                            static_cast<double>(size_.workers));
+        applied_ = decide_ejections(
+            claims, size_.floor * static_cast<double>(size_.workers));
     }
 
     bench_size size_;
-    verdict_policy policy_;
+    outlier_policy policy_;
     std::vector<worker_health> health_;
     std::vector<std::size_t> count_;
-    std::vector<applied_claim> applied_;
+    std::vector<ejection_decision> applied_;
     random_state rng_{1};
     mono_us now_ = us_per_s;
 };
@@ -177,12 +177,12 @@
 detector_maker make_core_without(core_part part, double factor)
 {
     return [part, factor](const bench_size& size) {
-        verdict_policy p;
-        p.threshold = threshold_for(size.per_day * factor, size.rate);
+        outlier_policy p;
+        p.threshold = evidence_threshold(size.per_day * factor, size.rate);
         p.ask_peers = part != core_part::peers;
-        p.watch_silence = part != core_part::silence;
-        p.learn_bursts = part != core_part::bursts;
-        p.split_sources = part != core_part::sources;
+        p.count_outstanding = part != core_part::silence;
+        p.tolerate_bursts = part != core_part::bursts;
+        p.per_source_ejection = part != core_part::sources;
         return std::make_unique<core>(size, p);
     };
 }
--- a/src/balance/balance_func.cpp
+++ b/src/balance/balance_func.cpp
@@ -17,7 +17,7 @@
     for (std::size_t n = 0; n < all.size(); ++n) {
         const auto& c = all[n];
         const bool usable =
-            (!c.trickle || idempotent) && !was_tried(tried, c.id);
+            (!c.probe_only || idempotent) && !was_tried(tried, c.id);
         if (usable)
             weights[n] = ramped_weight(c, p, now) * c.slots;
     }
@@ -49,7 +49,7 @@
 
 double ramped_weight(const candidate& c, const balance_policy& p, mono_us now)
 {
-    const auto age = now - c.born_at;
+    const auto age = now - c.first_seen_at;
     if (age >= p.ramp)
         return c.weight;
     const double share = static_cast<double>(age) / static_cast<double>(p.ramp);
@@ -59,7 +59,7 @@
 double cost_of(const candidate& c, const balance_policy& p, mono_us now)
 {
     const double age = static_cast<double>(now - c.load_at) /
-                       static_cast<double>(p.load_memory);
+                       static_cast<double>(p.load_decay);
     const double load = age < 1 ? c.load * (1 - age) : 0;
     const double own = c.in_flight / c.slots;
     return std::max(load, own) + (c.near ? 0 : p.far_cost);
@@ -81,23 +81,23 @@
     // An ejected one that was drawn is fed its trickle: compared by load it
     // would always win, because it is idle, or lose, and never be judged.
     const double rest = sum - weights[first];
-    if (all[first].trickle || rest <= 0)
+    if (all[first].probe_only || rest <= 0)
         return choice{first, first_cost, first_cost};
     weights[first] = 0;
     const auto second = draw(weights, rest, rng);
     const double second_cost = cost_of(all[second], p, now);
-    if (all[second].trickle || first_cost <= second_cost)
+    if (all[second].probe_only || first_cost <= second_cost)
         return choice{first, first_cost, second_cost};
     return choice{second, second_cost, first_cost};
 }
 
-std::optional<std::size_t> home_worker(const std::vector<candidate>& all,
-                                       std::uint64_t key)
+std::optional<std::size_t> rendezvous_worker(const std::vector<candidate>& all,
+                                             std::uint64_t key)
 {
     std::optional<std::size_t> best;
     std::uint64_t best_rank = 0;
     for (std::size_t n = 0; n < all.size(); ++n) {
-        if (all[n].weight <= 0 || all[n].trickle)
+        if (all[n].weight <= 0 || all[n].probe_only)
             continue;
         const auto rank = mix_hash(key, static_cast<std::uint64_t>(all[n].id));
         if (!best || rank > best_rank) {
--- a/src/balance/balance_type.hpp
+++ b/src/balance/balance_type.hpp
@@ -20,27 +20,27 @@
     node_id exit{};   ///< node that guards it
     bool near = true; ///< in the entry node's data centre
     double slots = 1;
-    double weight = 1;        ///< after claims and floor; 0 for never
-    bool trickle = false;     ///< ejected: idempotent work only
-    bool path_bad = false;    ///< this node's way there loses work
-    bool held = false;        ///< deserves ejection; the floor forbids it
-    double load = 0;          ///< of its gate, on its last answer
-    mono_us load_at = 0;      ///< when that answer came
-    int in_flight = 0;        ///< own work there
-    mono_us born_at = 0;      ///< first seen; a cold start ramps up
-    worker_doubt doubt;       ///< as the exit node last told it
-    int told_doubt = 0;       ///< percent, in the node's record
-    span_us work_us = 500000; ///< that its work usually takes
+    double weight = 1;              ///< after claims and floor; 0 for never
+    bool probe_only = false;        ///< ejected: idempotent work only
+    bool path_bad = false;          ///< this node's way there loses work
+    bool held = false;              ///< deserves ejection; the floor forbids it
+    double load = 0;                ///< of its gate, on its last answer
+    mono_us load_at = 0;            ///< when that answer came
+    int in_flight = 0;              ///< own work there
+    mono_us first_seen_at = 0;      ///< first seen; a cold start ramps up
+    failure_estimate doubt;         ///< as the exit node last told it
+    int record_failure_percent = 0; ///< percent, in the node's record
+    span_us work_us = 500000;       ///< that its work usually takes
 };
 
 /// Settings of the choice.
 struct balance_policy
 {
-    span_us load_memory = us_per_s; ///< a load fades over this time
-    span_us ramp = 10 * us_per_s;   ///< of a cold start
-    double ramp_start = 0.1;        ///< share that it starts with
-    double far_cost = 0.5;          ///< load that a far one must beat
-    doubt_policy doubt;             ///< placing by loss, where it is on
+    span_us load_decay = us_per_s; ///< a load fades over this time
+    span_us ramp = 10 * us_per_s;  ///< of a cold start
+    double ramp_start = 0.1;       ///< share that it starts with
+    double far_cost = 0.5;         ///< load that a far one must beat
+    failure_estimate_policy doubt; ///< placing by loss, where it is on
 };
 
 /// Why a choice fell as it did, for the log line.
@@ -71,7 +71,7 @@
 
 /// Home of an idempotency key: the same for all entry nodes that know the
 /// same members (rendezvous hashing). Nothing when none is usable.
-std::optional<std::size_t> home_worker(const std::vector<candidate>& all,
-                                       std::uint64_t key);
+std::optional<std::size_t> rendezvous_worker(const std::vector<candidate>& all,
+                                             std::uint64_t key);
 
 } // namespace jasminetray
--- a/src/balance/load_news.hpp
+++ b/src/balance/load_news.hpp
@@ -10,19 +10,21 @@
 namespace jasminetray {
 
 /// What is worth telling.
-struct load_news_policy
+struct load_update_policy
 {
-    double coarse_step = 0.25; ///< of the slots, while some are free
-    double busy_from = 0.7;    ///< load at which each single slot counts
-    int doubt_step = 10;       ///< percent
+    double coarse_step = 0.25;   ///< of the slots, while some are free
+    double busy_threshold = 0.7; ///< load at which each single slot counts
+    int failure_probability_step = 10; ///< percent
     /// Pause between two words about one backend server. Work takes 100 ms
     /// and more, so a gate does not fill up unseen in between.
-    span_us min_pause = 60 * us_per_ms;
-    span_us again_after = us_per_s / 2; ///< a lost datagram is made good
+    span_us min_update_interval = 60 * us_per_ms;
+    span_us max_update_interval =
+        us_per_s / 2; ///< a lost datagram is made good
 };
 
 /// Whether `l` is to be told, after `told` was `since` ago.
-bool is_load_news(const load_report& l, const load_report& told, double slots,
-                  span_us since, const load_news_policy& p);
+bool is_load_update_due(const load_report& l, const load_report& told,
+                        double slots, span_us since,
+                        const load_update_policy& p);
 
 } // namespace jasminetray
--- a/src/balance/place_type.hpp
+++ b/src/balance/place_type.hpp
@@ -13,11 +13,11 @@
 /// What is lost, as shares of a request's worth. The far share comes from
 /// answers of 5 KB at the price of bytes, and 0.3 served better than 0.2; the
 /// others are first estimates.
-struct place_policy
+struct placement_policy
 {
     bool on = false; ///< only where doubt is told; else by least load of two
     double far_share = 0.3;     ///< of a request that crosses data centres
-    double usual_load = 0.6;    ///< of a candidate that said nothing lately
+    double baseline_load = 0.6; ///< of a candidate that said nothing lately
     double retry_share = 0.25;  ///< of idempotent work that fails once
     double late_share = 0.7;    ///< of work whose wait equals its target
     double busy_share = 0.1;    ///< at full slots: it runs slower there
@@ -34,37 +34,37 @@
     /// The same for each such candidate, where there are many: after a release
     /// half of a service is unknown, and must not stay idle while the rest
     /// refuses work.
-    double probe_each = 0.06;
-    double probe_most = 0.5; ///< of such work, however many there are
-    double noise = 0.04;     ///< random, so that entry nodes do not all agree
+    double probe_share_per_candidate = 0.06;
+    double max_probe_share = 0.5; ///< of such work, however many there are
+    double noise = 0.04; ///< random, so that entry nodes do not all agree
 };
 
 /// What matters of a request.
-struct place_request
+struct placement_request
 {
-    bool may_fail = false;         ///< a failure would be tried again elsewhere
+    bool retryable = false;        ///< a failure would be tried again elsewhere
     span_us target = 2 * us_per_s; ///< time that an answer is worth all
 };
 
 /// Loss that is expected of a candidate.
-double expected_loss(const candidate& c, const place_policy& p,
-                     const balance_policy& b, const place_request& r,
+double expected_loss(const candidate& c, const placement_policy& p,
+                     const balance_policy& b, const placement_request& r,
                      mono_us now);
 
 /// Chooses the suspect that is most likely well again, for work that found no
 /// room elsewhere; nothing when there is none.
 /// @param tried those that this request was sent to already
-std::optional<choice> place_resort(const std::vector<candidate>& all,
-                                   const balance_policy& b,
-                                   const std::vector<worker_id>& tried,
-                                   mono_us now);
+std::optional<choice> choose_fallback(const std::vector<candidate>& all,
+                                      const balance_policy& b,
+                                      const std::vector<worker_id>& tried,
+                                      mono_us now);
 
 /// Chooses the candidate with the least expected loss, or nothing when none
 /// is usable.
 /// @param tried those that this request was sent to already
 std::optional<choice> place(const std::vector<candidate>& all,
-                            const place_policy& p, const balance_policy& b,
-                            const place_request& r,
+                            const placement_policy& p, const balance_policy& b,
+                            const placement_request& r,
                             const std::vector<worker_id>& tried,
                             random_state& rng, mono_us now);
 
--- a/src/balance/view_func.cpp
+++ b/src/balance/view_func.cpp
@@ -58,17 +58,18 @@
         s.claims.emplace_back();
         s.spoken.emplace_back();
         s.candidates[n].id = w.id;
-        s.candidates[n].born_at = now;
+        s.candidates[n].first_seen_at = now;
     }
     auto& c = s.candidates[n];
     c.exit = r.id;
     c.near = r.centre == v.centre;
     c.slots = std::max<double>(1, w.slots);
-    if (w.doubt != c.told_doubt) {
-        c.told_doubt = w.doubt;
+    if (w.doubt != c.record_failure_percent) {
+        c.record_failure_percent = w.doubt;
         constexpr double percent = 100;
         c.doubt.sick = w.doubt / percent;
-        c.doubt.suspect = w.doubt >= percent * doubt_policy{}.suspect_at;
+        c.doubt.suspect =
+            w.doubt >= percent * failure_estimate_policy{}.suspect_threshold;
         c.doubt.at = now;
     }
     s.total += c.slots - s.claims[n].slots;
@@ -82,12 +83,13 @@
 }
 
 void fill_claim(fleet_view& v, const view_node& node, const worker_record& w,
-                claim& c, const spoken_claim& spoken, const path_table& paths,
-                mono_us now)
+                ejection_request& c, const answer_severity& spoken,
+                const path_table& paths, mono_us now)
 {
     // Others may call a node dead that this one still reaches: a one-way
     // partition is no death, and its capacity stays in use here.
-    const bool reached = node.good_at != 0 && now - node.good_at < good_memory;
+    const bool reached =
+        node.last_reply_at != 0 && now - node.last_reply_at < good_memory;
     c.alive = (node.state != liveness::dead || reached) &&
               !node.record.leaving && !w.draining;
     const bool scoped = w.scope != centre_id{} && w.scope != v.centre;
@@ -95,7 +97,7 @@
     if (spoken.at != 0 && now - spoken.at < spoken_memory)
         c.severity = spoken.severity;
     if (is_doubted(v, node.record.id))
-        c.severity = std::max(c.severity, claim_severity);
+        c.severity = std::max(c.severity, ejection_severity);
     c.path_bad = !path_usable(paths, node.record.id);
     c.forced = c.severity >= forced_severity;
 }
@@ -137,11 +139,12 @@
     v.nodes.erase(id);
 }
 
-std::vector<standing_change> view_apply(fleet_view& v, service_id id,
-                                        const service_config& c,
-                                        const path_table& paths, mono_us now)
+std::vector<ejection_change> view_apply_ejections(fleet_view& v, service_id id,
+                                                  const service_config& c,
+                                                  const path_table& paths,
+                                                  mono_us now)
 {
-    std::vector<standing_change> changes;
+    std::vector<ejection_change> changes;
     const auto it = v.services.find(id);
     if (it == v.services.end())
         return changes;
@@ -155,24 +158,24 @@
             fill_claim(v, node->second, *w, s.claims[n], s.spoken[n], paths,
                        now);
     }
-    const auto applied = apply_claims(s.claims, floor_slots(c, s.total));
+    const auto applied = decide_ejections(s.claims, floor_slots(c, s.total));
     s.at_floor = false;
     for (std::size_t n = 0; n < applied.size(); ++n) {
         auto& x = s.candidates[n];
         const bool was_held = x.held;
-        const bool was_ejected = x.trickle;
+        const bool was_ejected = x.probe_only;
         x.weight = applied[n].weight;
-        x.trickle = applied[n].ejected;
+        x.probe_only = applied[n].ejected;
         x.held = applied[n].held;
         x.path_bad = s.claims[n].path_bad && s.claims[n].alive;
         s.at_floor = s.at_floor || applied[n].held;
-        if (was_held != x.held || was_ejected != x.trickle)
-            changes.push_back({x.id, x.trickle, x.held});
+        if (was_held != x.held || was_ejected != x.probe_only)
+            changes.push_back({x.id, x.probe_only, x.held});
     }
     return changes;
 }
 
-void view_take_load(candidate& c, const load_report& l, mono_us now)
+void view_update_load(candidate& c, const load_report& l, mono_us now)
 {
     constexpr double percent = 100;
     c.load = l.load;
--- a/src/balance/view_type.hpp
+++ b/src/balance/view_type.hpp
@@ -16,7 +16,7 @@
 
 /// What an exit node said about a backend server on an answer; newer than
 /// any record for a moment.
-struct spoken_claim
+struct answer_severity
 {
     int severity = 0;
     mono_us at = 0; ///< 0 for never
@@ -27,8 +27,8 @@
 struct service_view
 {
     std::vector<candidate> candidates;
-    std::vector<claim> claims;
-    std::vector<spoken_claim> spoken;
+    std::vector<ejection_request> claims;
+    std::vector<answer_severity> spoken;
     double total = 0;      ///< slots of all that are known, also lost ones
     bool at_floor = false; ///< a claim was held back by the floor
 };
@@ -38,10 +38,10 @@
 {
     node_record record;
     liveness state = liveness::alive;
-    mono_us stamp_at = 0; ///< when its newest stamp was received
-    mono_us stamp = 0;    ///< of its clock
-    boot_id stamp_boot{}; ///< process that gave the stamp
-    mono_us good_at = 0;  ///< last whole reply on its path
+    mono_us stamp_at = 0;      ///< when its newest stamp was received
+    mono_us stamp = 0;         ///< of its clock
+    boot_id stamp_boot{};      ///< process that gave the stamp
+    mono_us last_reply_at = 0; ///< last whole reply on its path
 };
 
 /// What an entry node knows about the fleet.
@@ -68,7 +68,7 @@
 void view_remove(fleet_view& v, node_id id, mono_us now);
 
 /// One backend server whose standing changed when claims were applied.
-struct standing_change
+struct ejection_change
 {
     worker_id id{};
     bool ejected = false;
@@ -78,12 +78,13 @@
 /// Applies all claims on a service down to its floor.
 /// @param c settings of the service; gives the floor
 /// @param paths of this entry node
-std::vector<standing_change> view_apply(fleet_view& v, service_id id,
-                                        const service_config& c,
-                                        const path_table& paths, mono_us now);
+std::vector<ejection_change> view_apply_ejections(fleet_view& v, service_id id,
+                                                  const service_config& c,
+                                                  const path_table& paths,
+                                                  mono_us now);
 
 /// Takes up how a backend server stands, as its exit node has just told it.
-void view_take_load(candidate& c, const load_report& l, mono_us now);
+void view_update_load(candidate& c, const load_report& l, mono_us now);
 
 /// Candidate of a service by id; null when there is none.
 candidate* view_candidate(fleet_view& v, service_id service, worker_id id);
--- a/src/gate/gate_cmd.cpp
+++ b/src/gate/gate_cmd.cpp
@@ -83,14 +83,16 @@
 bool is_held_back(const gate& g, const gate_worker& w, const gate_request& r,
                   mono_us now)
 {
-    if (!g.limits.doubt.on || !doubt_holds(w.doubt, g.limits.doubt, now))
+    if (!g.limits.doubt.on ||
+        !estimate_withholds_work(w.doubt, g.limits.doubt, now))
         return false;
     const auto& p = g.limits.doubt;
     // No other backend server has capacity, and a failure of idempotent work
     // does no harm.
     if (r.is_fallback && r.idempotent)
         return false;
-    const bool may = r.may_probe || doubt_now(w.doubt, p, now) < p.forgive_at;
+    const bool may = r.may_probe || estimate_failure_probability(
+                                        w.doubt, p, now) < p.any_work_threshold;
     return !may || now < w.doubt.probe_at;
 }
 
@@ -229,7 +231,7 @@
     auto& w = it->second;
     const bool start = has_free_slot(w) && w.queue.empty();
     if (mode == command_mode::apply && w.doubt.suspect)
-        doubt_take_probe(w.doubt, g.limits.doubt, now);
+        estimate_take_probe(w.doubt, g.limits.doubt, now);
     if (mode == command_mode::apply && !is_late(w, make_waiting(r, 0), now))
         add_on_time_load(w, g.limits, r.route_class, now);
     if (mode == command_mode::apply && start)
@@ -312,7 +314,7 @@
         return {};
     }
     const bool was = it->second.doubt.suspect;
-    doubt_seen(it->second.doubt, g.limits.doubt, failed, took, now);
+    estimate_add_outcome(it->second.doubt, g.limits.doubt, failed, took, now);
     return refuse_if_newly_suspect(g, it->second, was, now);
 }
 
@@ -331,7 +333,7 @@
     if (!g.limits.doubt.on || it == g.workers.end())
         return {};
     const bool was = it->second.doubt.suspect;
-    doubt_silent(it->second.doubt, g.limits.doubt, overdue_share, now);
+    estimate_add_overdue(it->second.doubt, g.limits.doubt, overdue_share, now);
     return refuse_if_newly_suspect(g, it->second, was, now);
 }
 
--- a/src/gate/gate_early_success.cpp
+++ b/src/gate/gate_early_success.cpp
@@ -11,7 +11,8 @@
 
 bool is_long(const gate_limits& l, span_us took)
 {
-    return took >= l.early_success.min_duration_factor * l.doubt.quick_failure;
+    return took >=
+           l.early_success.min_duration_factor * l.doubt.fast_failure_time;
 }
 
 /// Minimum share of quick failures among a backend server's failures. Below it,
@@ -19,9 +20,10 @@
 constexpr double min_quick_share = 0.3;
 
 /// Returns whether the backend server fails quickly when it fails.
-bool fails_early(const worker_doubt& d)
+bool fails_early(const failure_estimate& d)
 {
-    return d.quick_share >= min_quick_share && (!d.suspect || d.quick);
+    return d.fast_failure_share >= min_quick_share &&
+           (!d.suspect || d.last_failure_fast);
 }
 
 } // namespace
@@ -30,7 +32,7 @@
                          const recent_work& x)
 {
     const bool counts =
-        l.early_success.enabled && l.doubt.on && l.doubt.quick_failure > 0;
+        l.early_success.enabled && l.doubt.on && l.doubt.fast_failure_time > 0;
     if (counts && static_cast<double>(w.recent.size()) < w.slots)
         w.recent.push_back(x);
 }
@@ -46,14 +48,15 @@
 void early_success_check(gate_worker& w, const gate_limits& l, mono_us now)
 {
     const auto is_past = [&](const recent_work& x) {
-        return now - x.started_at > l.doubt.quick_failure;
+        return now - x.started_at > l.doubt.fast_failure_time;
     };
     for (const auto& x : w.recent) {
         if (!is_past(x))
             continue;
         if (is_long(l, mean_duration_of(w, x.route_class)) &&
             fails_early(w.doubt))
-            doubt_seen(w.doubt, l.doubt, false, l.doubt.quick_failure, now);
+            estimate_add_outcome(w.doubt, l.doubt, false,
+                                 l.doubt.fast_failure_time, now);
     }
     w.recent.erase(std::remove_if(w.recent.begin(), w.recent.end(), is_past),
                    w.recent.end());
--- a/src/gate/gate_early_success.hpp
+++ b/src/gate/gate_early_success.hpp
@@ -12,7 +12,8 @@
 /// Stops tracking work that ended.
 void early_success_end(gate_worker& w, const attempt_id& a);
 
-/// Counts work that outlived doubt_policy::quick_failure as successes.
+/// Counts work that outlived failure_estimate_policy::fast_failure_time as
+/// successes.
 void early_success_check(gate_worker& w, const gate_limits& l, mono_us now);
 
 /// Returns whether successful work was already counted before it ended.
--- a/src/gate/gate_query.cpp
+++ b/src/gate/gate_query.cpp
@@ -43,7 +43,7 @@
 {
     const auto it = g.workers.find(w);
     return it != g.workers.end() && g.limits.doubt.on &&
-           doubt_holds(it->second.doubt, g.limits.doubt, now);
+           estimate_withholds_work(it->second.doubt, g.limits.doubt, now);
 }
 
 double gate_failure_probability(const gate& g, worker_id w, mono_us now)
@@ -51,7 +51,7 @@
     const auto it = g.workers.find(w);
     if (!g.limits.doubt.on || it == g.workers.end())
         return 0;
-    return doubt_now(it->second.doubt, g.limits.doubt, now);
+    return estimate_failure_probability(it->second.doubt, g.limits.doubt, now);
 }
 
 std::size_t gate_pending_count(const gate& g)
--- a/src/gate/gate_type.hpp
+++ b/src/gate/gate_type.hpp
@@ -102,7 +102,7 @@
 {
     bool enabled = true;
     /// Minimum mean duration of long work, in multiples of
-    /// doubt_policy::quick_failure.
+    /// failure_estimate_policy::fast_failure_time.
     int min_duration_factor = 4;
 };
 
@@ -116,7 +116,8 @@
     /// Maximum queue length per backend server; bounds memory only, since the
     /// wait forecast refuses work long before.
     std::size_t queue = 64;
-    doubt_policy doubt; ///< failure probability at which work is held back
+    failure_estimate_policy
+        doubt; ///< failure probability at which work is held back
     /// Minimum time that work may wait in the queue, whatever its target.
     /// Lookups with short targets are often made by running requests, which
     /// fail with them.
@@ -140,7 +141,8 @@
     }
 };
 
-/// Running work that has not yet outlived doubt_policy::quick_failure.
+/// Running work that has not yet outlived
+/// failure_estimate_policy::fast_failure_time.
 struct recent_work
 {
     attempt_id attempt;
@@ -182,7 +184,7 @@
     mono_us lowered_at = 0;     ///< last decrease of the limit
     int served_concurrency = 0; ///< highest recent concurrency of a response
     mono_us served_at = 0;      ///< time of that response
-    worker_doubt doubt;         ///< failure probability
+    failure_estimate doubt;     ///< failure probability
     std::vector<recent_work> recent; ///< invariant: size <= slots
     double on_time_load = 0;         ///< share of its time used by on-time work
     mono_us on_time_load_at = 0;     ///< last update of on_time_load
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -37,18 +37,18 @@
     for (std::size_t k = 0; k < s.candidates.size(); ++k) {
         const auto& c = s.candidates[k];
         const auto node = n.view.nodes.find(c.exit);
-        workers.push_back(json::object{{"worker", hex(c.id)},
-                                       {"node", node == n.view.nodes.end()
-                                                    ? ""
-                                                    : node->second.record.name},
-                                       {"slots", c.slots},
-                                       {"weight", c.weight},
-                                       {"severity", s.claims[k].severity},
-                                       {"alive", s.claims[k].alive},
-                                       {"ejected", c.trickle},
-                                       {"held_by_floor", c.held},
-                                       {"load", c.load},
-                                       {"in_flight_here", c.in_flight}});
+        workers.push_back(json::object{
+            {"worker", hex(c.id)},
+            {"node",
+             node == n.view.nodes.end() ? "" : node->second.record.name},
+            {"slots", c.slots},
+            {"weight", c.weight},
+            {"severity", s.ejection_requests[k].severity},
+            {"alive", s.ejection_requests[k].alive},
+            {"ejected", c.probe_only},
+            {"held_by_floor", c.held},
+            {"load", c.load},
+            {"in_flight_here", c.in_flight}});
     }
     const auto* c = n.config ? find_service(*n.config, name) : nullptr;
     return {{"service", name},
@@ -63,16 +63,16 @@
     json::array workers;
     const auto now = mono_now();
     for (const auto& [id, w] : n.workers) {
-        workers.push_back(
-            json::object{{"worker", hex(id)},
-                         {"name", w.name},
-                         {"service", w.service},
-                         {"slots", w.slots},
-                         {"draining", w.draining || w.drained_here},
-                         {"standing", name_of(standing_names, w.health.state)},
-                         {"evidence", health_score(w.health, w.policy, now)},
-                         {"threshold", health_threshold(w.health, w.policy)},
-                         {"load", gate_load(n.door, id)}});
+        workers.push_back(json::object{
+            {"worker", hex(id)},
+            {"name", w.name},
+            {"service", w.service},
+            {"slots", w.slots},
+            {"draining", w.draining || w.drained_here},
+            {"standing", name_of(ejection_state_names, w.health.state)},
+            {"evidence", health_score(w.health, w.policy, now)},
+            {"threshold", health_threshold(w.health, w.policy)},
+            {"load", gate_load(n.door, id)}});
     }
     return {{"node", n.settings.name},
             {"data_centre", n.settings.centre},
@@ -83,7 +83,7 @@
             {"config_age_s", n.config ? (now - n.config_at) / us_per_s : 0},
             {"store_reachable", n.store_reachable},
             {"members", n.view.nodes.size()},
-            {"self_doubt", n.paths.self_doubt},
+            {"self_doubt", n.paths.local_fault},
             {"in_flight", n.in_flight},
             {"gate_records", n.door.records.size()},
             {"workers", workers}};
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -41,11 +41,11 @@
 
 /// Returns the baseline of the previous incarnation. A restart keeps it, so
 /// that a faulty release can't define its own baseline.
-service_usual inherit_baseline(node_state& n, const announcement& a)
+service_baseline inherit_baseline(node_state& n, const announcement& a)
 {
     for (const auto& [id, w] : n.workers) {
         if (w.name == a.name && w.service == a.service)
-            return w.health.usual;
+            return w.health.baseline;
     }
     return {};
 }
@@ -90,8 +90,8 @@
     w.name = a.name;
     w.service = a.service;
     w.boot = a.boot;
-    w.health.usual = baseline;
-    w.health.cold_until =
+    w.health.baseline = baseline;
+    w.health.cold_start_until =
         mono_now() + (a.sequence != 0 ? a.cold_for : n.balance.ramp);
     refresh_ejection_policies(n);
     n.events.write(event_id::worker_announced, a.name,
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -27,7 +27,7 @@
         return;
     auto& v = it->second;
     const auto now = mono_now();
-    v.good_at = now;
+    v.last_reply_at = now;
     if (a.boot == boot_id{})
         return;
     // Stamps of one process are monotonic; a new process starts its own.
@@ -46,18 +46,18 @@
     if (c == nullptr || it == n.view.services.end())
         return;
     const auto now = mono_now();
-    view_take_load(*c,
-                   {t.worker, r.service_key, a.load, a.baseline_work,
-                    a.failure_percent, a.suspect},
-                   now);
+    view_update_load(*c,
+                     {t.worker, r.service_key, a.load, a.baseline_work,
+                      a.failure_percent, a.suspect},
+                     now);
     const auto index =
         static_cast<std::size_t>(c - it->second.candidates.data());
-    auto& spoken = it->second.spoken[index];
+    auto& spoken = it->second.answer_severities[index];
     // Applies a changed ejection request at once; gossip would delay it.
     const bool moved = spoken.severity / 25 != a.severity / 25;
     spoken = {a.severity, now};
     if (moved && r.service != nullptr)
-        view_apply(n.view, r.service_key, *r.service, n.paths, now);
+        view_apply_ejections(n.view, r.service_key, *r.service, n.paths, now);
 }
 
 /// Checks a connection with a round trip, and fetches a fresh stamp.
@@ -248,8 +248,8 @@
         return std::nullopt;
     const auto& candidates = it->second.candidates;
     if (r.is_fallback)
-        return place_resort(candidates, r.n.balance, r.tried_workers,
-                            mono_now());
+        return choose_fallback(candidates, r.n.balance, r.tried_workers,
+                               mono_now());
     if (!r.pinned_worker && r.n.placing.on)
         return place(candidates, r.n.placing, r.n.balance,
                      {r.may_probe, r.route->target_us}, r.tried_workers,
@@ -290,26 +290,26 @@
             " worker=" + to_hex(static_cast<std::uint64_t>(x.id)) + " exit=" +
             node->second.record.name + " cost=" + std::to_string(c->cost) +
             " other_cost=" + std::to_string(c->other_cost) +
-            (x.trickle ? " trickle=1" : ""));
+            (x.probe_only ? " trickle=1" : ""));
     return true;
 }
 
-void log_path_step(node_state& n, node_id exit, path_step step)
+void log_path_step(node_state& n, node_id exit, path_transition step)
 {
     const auto subject = to_hex(static_cast<std::uint64_t>(exit));
     switch (step) {
-    case path_step::none:
+    case path_transition::none:
         return;
-    case path_step::avoid:
+    case path_transition::avoid:
         n.events.write(event_id::path_avoided, subject, "");
         break;
-    case path_step::restore:
+    case path_transition::restore:
         n.events.write(event_id::path_restored, subject, "");
         break;
-    case path_step::doubt_self:
+    case path_transition::local_fault_began:
         n.events.write(event_id::self_doubt_began, n.settings.name, "");
         break;
-    case path_step::trust_self:
+    case path_transition::local_fault_ended:
         n.events.write(event_id::self_doubt_ended, n.settings.name, "");
         break;
     }
@@ -345,8 +345,9 @@
 {
     if (exit == n.self.id || !n.settings.experiment.has(mechanism::path_guard))
         return;
-    log_path_step(n, exit,
-                  path_seen(n.paths, n.path_settings, exit, lost, mono_now()));
+    log_path_step(
+        n, exit,
+        path_record_result(n.paths, n.path_settings, exit, lost, mono_now()));
 }
 
 namespace {
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -239,7 +239,7 @@
     auto& budget = r->n.budgets[r->service->name];
     const auto& h = r->n.settings.hosted;
     const auto now = mono_now();
-    if (r->n.balance.doubt.on) {
+    if (r->n.balance.estimate.on) {
         apply_fleet_allowance(budget,
                               {h.retry_ratio, h.retry_slack, h.retry_window,
                                std::max<std::size_t>(1, r->n.max_nodes)},
@@ -298,7 +298,7 @@
         p.max_attempts = 1;
     p.response_timeout = response_timeout(n, r, p.idempotent);
     p.revoke_margin = std::min(p.revoke_margin, r.route->deadline_us / 4);
-    if (n.balance.doubt.on) {
+    if (n.balance.estimate.on) {
         p.max_tries = max_gates;
         p.use_fallback =
             p.idempotent && n.settings.experiment.has(mechanism::last_resort);
@@ -424,7 +424,7 @@
 
 void probe_avoided_paths(node_state& n, mono_us now)
 {
-    for (const auto id : path_probes(n.paths, n.path_settings, now))
+    for (const auto id : path_due_probes(n.paths, n.path_settings, now))
         start_path_probe(n, id);
 }
 
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -16,16 +16,16 @@
     auto& gate = n.door.limits;
     const bool doubt = e.has(mechanism::doubt);
     gate.doubt.on = doubt;
-    n.balance.doubt.on = doubt;
+    n.balance.estimate.on = doubt;
     gate.late_forecast = e.has(mechanism::late_forecast);
     gate.short_first = e.has(mechanism::short_first);
     n.placing.on = doubt && e.has(mechanism::placing);
     gate.early_success.enabled = e.has(mechanism::survival);
     if (!e.has(mechanism::quick_probe))
-        gate.doubt.quick_failure = 0;
+        gate.doubt.fast_failure_time = 0;
     if (!e.has(mechanism::probe_work)) {
         n.placing.probe_share = 0;
-        n.placing.probe_each = 0;
+        n.placing.probe_share_per_candidate = 0;
     }
     if (!e.has(mechanism::refusal_memory))
         n.placing.refusal_memory = 0;
@@ -44,7 +44,7 @@
         break;
     case tunable::probe_share:
         place.probe_share *= x.factor;
-        place.probe_each *= x.factor;
+        place.probe_share_per_candidate *= x.factor;
         break;
     case tunable::far_share:
         place.far_share *= x.factor;
@@ -53,8 +53,9 @@
         gate.doubt.probe_every = scale_time(gate.doubt.probe_every, x.factor);
         break;
     case tunable::sick_span:
-        gate.doubt.sick_span = scale_time(gate.doubt.sick_span, x.factor);
-        n.balance.doubt.sick_span = gate.doubt.sick_span;
+        gate.doubt.unhealthy_span =
+            scale_time(gate.doubt.unhealthy_span, x.factor);
+        n.balance.estimate.unhealthy_span = gate.doubt.unhealthy_span;
         break;
     }
 }
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -39,7 +39,7 @@
                 {id, static_cast<std::uint32_t>(v.record.centre), about});
         }
     }
-    return agreed_nodes(complaints, n.path_settings);
+    return suspected_exit_nodes(complaints, n.path_settings);
 }
 
 /// Notes who is doubted; true when that changed.
@@ -47,13 +47,13 @@
 {
     auto doubted = find_doubted(n);
     for (const auto id : doubted) {
-        const auto& before = n.view.doubted;
+        const auto& before = n.view.suspected_nodes;
         if (std::find(before.begin(), before.end(), id) == before.end())
             n.events.write(event_id::node_doubted,
                            to_hex(static_cast<std::uint64_t>(id)), "");
     }
-    const bool changed = doubted != n.view.doubted;
-    n.view.doubted = std::move(doubted);
+    const bool changed = doubted != n.view.suspected_nodes;
+    n.view.suspected_nodes = std::move(doubted);
     return changed;
 }
 
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -43,8 +43,8 @@
         << " evidence=" << health_score(h, w.policy, now)
         << " threshold=" << health_threshold(h, w.policy)
         << " recent_seen=" << seen.seen << " recent_failed=" << seen.failed
-        << " usual_fail_rate=" << h.usual.fail_rate
-        << " outstanding=" << h.open.size() << " flaps=" << h.flaps
+        << " usual_fail_rate=" << h.baseline.fail_rate
+        << " outstanding=" << h.outstanding_work.size() << " flaps=" << h.flaps
         << " floor_slots=" << floor_slots_for(n, w);
     return out.str();
 }
@@ -58,7 +58,7 @@
 
 void eject(node_state& n, local_worker& w, mono_us now)
 {
-    const auto s = health_suspect(w.health, w.policy, now);
+    const auto s = health_suspicion(w.health, w.policy, now);
     n.events.write(event_id::worker_ejected, w.name,
                    describe_evidence(n, w, now) +
                        " scope=" + scope_name(n, s.scope));
@@ -96,15 +96,16 @@
     const auto reports = std::move(ask->second.reports);
     const auto it = n.workers.find(ask->second.about);
     n.asks.erase(ask);
-    if (it == n.workers.end() || it->second.health.state == standing::ejected)
+    if (it == n.workers.end() ||
+        it->second.health.state == ejection_state::ejected)
         return;
     const auto now = mono_now();
     auto& w = it->second;
     const auto text = describe_evidence(n, w, now);
-    const auto step = health_judge(w.health, w.policy, reports, now);
-    if (step == verdict_step::eject)
+    const auto step = health_compare_peers(w.health, w.policy, reports, now);
+    if (step == outlier_action::eject)
         eject(n, w, now);
-    if (step == verdict_step::hold)
+    if (step == outlier_action::hold)
         log_held_ejection(n, w, text);
 }
 
@@ -136,7 +137,7 @@
 {
     for (const auto& [id, w] : n.workers) {
         if (id != except.id && w.service == except.service &&
-            w.health.state == standing::trusted)
+            w.health.state == ejection_state::trusted)
             reports.push_back(
                 health_report(w.health, w.policy, s.since, s.scope));
     }
@@ -144,7 +145,7 @@
 
 void query_peers(node_state& n, local_worker& w, mono_us now)
 {
-    const auto s = health_suspect(w.health, w.policy, now);
+    const auto s = health_suspicion(w.health, w.policy, now);
     const auto query_id = n.next_ask++;
     auto& a = n.asks[query_id];
     a.about = w.id;
@@ -172,14 +173,14 @@
     if (!n.settings.experiment.has(mechanism::verdicts))
         return;
     switch (health_check(w.health, w.policy, now)) {
-    case verdict_step::ask_peers:
+    case outlier_action::ask_peers:
         return query_peers(n, w, now);
-    case verdict_step::eject:
+    case outlier_action::eject:
         return eject(n, w, now);
-    case verdict_step::restore:
+    case outlier_action::restore:
         return restore(n, w, now);
-    case verdict_step::none:
-    case verdict_step::hold:
+    case outlier_action::none:
+    case outlier_action::hold:
         break;
     }
     const int severity = severity_of(w, now);
@@ -192,7 +193,7 @@
 void record_worker_outcome(node_state& n, local_worker& w, std::uint64_t key,
                            const observation& o, mono_us now)
 {
-    health_seen(w.health, w.policy, key, o, now);
+    health_record_outcome(w.health, w.policy, key, o, now);
     evaluate_worker(n, w, now);
 }
 
@@ -254,7 +255,8 @@
         l.work = gate_mean_duration(n.door, id);
         l.doubt = percent_of(gate_failure_probability(n.door, id, now));
         l.suspect = is_suspect(n.door, id, now);
-        if (!is_load_news(l, w.told, w.slots, now - w.told_at, n.load_news))
+        if (!is_load_update_due(l, w.told, w.slots, now - w.told_at,
+                                n.load_news))
             continue;
         w.told = l;
         w.told_at = now;
@@ -270,7 +272,7 @@
     for (const auto& l : loads) {
         auto* c = view_candidate(n.view, l.service, l.worker);
         if (c != nullptr)
-            view_take_load(*c, l, now);
+            view_update_load(*c, l, now);
     }
 }
 
@@ -280,7 +282,7 @@
         evaluate_worker(n, w, now);
         // A backend server that hangs yields no outcomes until its first
         // timeout, so overdue requests count before that.
-        const auto overdue = health_overdue(w.health, min_overdue, now);
+        const auto overdue = health_mark_overdue(w.health, min_overdue, now);
         for (std::size_t k = 0; k < overdue; ++k)
             record_overdue_request(n, id, now);
     }
@@ -289,7 +291,7 @@
 int severity_for_source(const local_worker& w, std::uint32_t source)
 {
     const auto& h = w.health;
-    if (h.state == standing::ejected && h.scope != all_sources &&
+    if (h.state == ejection_state::ejected && h.scope != all_sources &&
         h.scope != source)
         return 0;
     return severity_of(w, mono_now());
@@ -306,7 +308,7 @@
         centre == n.source_index.end() ? all_sources : centre->second;
     for (const auto& [id, w] : n.workers) {
         if (service_of(w.service) != q.service ||
-            w.health.state == standing::ejected)
+            w.health.state == ejection_state::ejected)
             continue;
         const auto r = health_report(w.health, w.policy, since, source);
         reply.reports.push_back(
@@ -332,8 +334,8 @@
     for (auto& [id, w] : n.workers) {
         const auto* c = n.config ? find_service(*n.config, w.service) : nullptr;
         if (c != nullptr)
-            w.policy.threshold =
-                threshold_for(c->false_ejections_per_day, assumed_request_rate);
+            w.policy.threshold = evidence_threshold(c->false_ejections_per_day,
+                                                    assumed_request_rate);
     }
 }
 
--- a/src/node/idempotency_key.cpp
+++ b/src/node/idempotency_key.cpp
@@ -66,7 +66,7 @@
     refusal x;
     if (r.route->keys == key_mode::home) {
         const auto& candidates = n.view.services[r.service_key].candidates;
-        const auto index = home_worker(candidates, hash);
+        const auto index = rendezvous_worker(candidates, hash);
         if (index)
             r.pinned_worker = candidates[*index].id;
         return std::nullopt;
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -448,7 +448,7 @@
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
         members.push_back(id);
-    path_forget(n.paths, members);
+    path_prune(n.paths, members);
     // The few that were silent lately; ids of nodes that left go with them.
     n.silent_homes.clear();
 }
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -22,7 +22,7 @@
     w.published = severity;
     // Small moves below the threshold ride on answers; as records they
     // would cost a datagram to every node.
-    const int shown = severity >= claim_severity
+    const int shown = severity >= ejection_severity
                           ? severity
                           : severity / severity_step * severity_step;
     r.id = w.id;
@@ -32,7 +32,7 @@
     r.draining = w.draining || w.drained_here;
     r.doubt = static_cast<std::uint8_t>(
         percent_of(gate_failure_probability(n.door, w.id, now)));
-    r.scope = w.health.state == standing::ejected
+    r.scope = w.health.state == ejection_state::ejected
                   ? scope_centre(n, w.health.scope)
                   : centre_id{};
     return r;
@@ -75,7 +75,7 @@
     for (auto& [id, w] : n.workers)
         n.self.workers.push_back(record_of(n, w, now));
     n.self.complaints.clear();
-    if (!n.paths.self_doubt) {
+    if (!n.paths.local_fault) {
         for (const auto& [id, p] : n.paths.paths) {
             if (p.avoided)
                 n.self.complaints.push_back(id);
@@ -92,7 +92,7 @@
 void apply_service(node_state& n, const service_config& c, mono_us now)
 {
     const auto id = service_of(c.name);
-    for (const auto& x : view_apply(n.view, id, c, n.paths, now)) {
+    for (const auto& x : view_apply_ejections(n.view, id, c, n.paths, now)) {
         if (!x.held)
             continue;
         n.events.write(
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -48,7 +48,7 @@
     bool drained_here = false; ///< by an operator
     mono_us announced_at = 0;  ///< last announcement
     worker_health health;
-    verdict_policy policy;
+    outlier_policy policy;
     connection_pool idle;
     /// Connections with work on them. Invariant: each lives until its work's
     /// coroutine has taken it out again.
@@ -192,8 +192,8 @@
     path_table paths;
     path_policy path_settings;
     balance_policy balance;
-    place_policy placing;
-    load_news_policy load_news;
+    placement_policy placing;
+    load_update_policy load_news;
     mono_us call_failed_at = 0; ///< newest failure that was said to a caller
     std::unordered_map<node_id, connection_pool> exits;
     std::unordered_map<std::string, retry_budget> budgets;
--- a/src/node/worker_request.cpp
+++ b/src/node/worker_request.cpp
@@ -96,13 +96,14 @@
         return outcome_kind::failed; // closed or reset by the backend server
     // A timeout after a short deadline is no evidence of a failure. Until the
     // baseline is known, the route's target stands in for it.
-    const auto& baseline = w.health.usual;
+    const auto& baseline = w.health.baseline;
     const bool baseline_known =
         target == 0 || is_duration_known(baseline, route_class);
     const double expected =
         baseline_known
             ? timeout_failure_factor *
-                  std::exp(baseline.times[route_class % work_classes].log_mean)
+                  std::exp(
+                      baseline.times[route_class % max_route_classes].log_mean)
             : static_cast<double>(target);
     return static_cast<double>(waited) > expected ? outcome_kind::failed
                                                   : outcome_kind::neutral;
@@ -214,7 +215,7 @@
     else if (status >= 400)
         a.outcome = outcome_kind::neutral;
     else
-        a.outcome = outcome_kind::good;
+        a.outcome = outcome_kind::success;
 }
 
 /// Reads an answer up to the number of bytes that are held in memory. On a
@@ -304,10 +305,10 @@
         return a;
     }
     a.route_class =
-        health_class(it->second.health, r.route_class, a.started_at);
+        health_route_class(it->second.health, r.route_class, a.started_at);
     a.evidence_key = ++it->second.next_key;
-    health_sent(it->second.health, {a.evidence_key, a.started_at, source,
-                                    a.route_class, r.target, false});
+    health_record_sent(it->second.health, {a.evidence_key, a.started_at, source,
+                                           a.route_class, r.target, false});
     a.link = connect_worker(n, it->second, r, y);
     it = n.workers.find(r.worker); // may have been removed meanwhile
     if (it != n.workers.end() && a.link) {
@@ -329,7 +330,7 @@
     if (it == n.workers.end())
         return;
     if (!whole && a.result == work_result::lost && a.parser &&
-        a.outcome == outcome_kind::good)
+        a.outcome == outcome_kind::success)
         a.outcome = outcome_kind::failed; // truncated answer
     record_worker_outcome(
         n, it->second, a.evidence_key,
--- a/src/verdict/doubt_func.cpp
+++ b/src/verdict/doubt_func.cpp
@@ -12,12 +12,14 @@
 constexpr double max_sick = 0.995;
 constexpr double quick_weight = 4; // failures in the moving mean
 
-void set_sick(worker_doubt& d, const doubt_policy& p, double sick, mono_us now)
+void set_sick(failure_estimate& d, const failure_estimate_policy& p,
+              double sick, mono_us now)
 {
     d.sick = std::clamp(sick, min_sick, max_sick);
     d.at = now;
     const bool was = d.suspect;
-    d.suspect = was ? d.sick > p.trust_at : d.sick >= p.suspect_at;
+    d.suspect =
+        was ? d.sick > p.clear_threshold : d.sick >= p.suspect_threshold;
     if (d.suspect && !was)
         d.probe_at = now + p.probe_every;
 }
@@ -32,48 +34,58 @@
 
 } // namespace
 
-double doubt_now(const worker_doubt& d, const doubt_policy& p, mono_us now)
+double estimate_failure_probability(const failure_estimate& d,
+                                    const failure_estimate_policy& p,
+                                    mono_us now)
 {
     const auto passed = static_cast<double>(std::max<span_us>(0, now - d.at));
     // Both rates of the two-state chain add up in how fast it forgets.
     const double rate =
-        1 / (static_cast<double>(p.sick_span) * (1 - p.sick_share));
+        1 / (static_cast<double>(p.unhealthy_span) * (1 - p.unhealthy_share));
     const double kept = std::exp(-passed * rate);
-    return p.sick_share + (d.sick - p.sick_share) * kept;
+    return p.unhealthy_share + (d.sick - p.unhealthy_share) * kept;
 }
 
-bool doubt_holds(const worker_doubt& d, const doubt_policy& p, mono_us now)
+bool estimate_withholds_work(const failure_estimate& d,
+                             const failure_estimate_policy& p, mono_us now)
 {
-    return d.suspect && doubt_now(d, p, now) > p.trust_at;
+    return d.suspect &&
+           estimate_failure_probability(d, p, now) > p.clear_threshold;
 }
 
-void doubt_seen(worker_doubt& d, const doubt_policy& p, bool failed,
-                span_us took, mono_us now)
+void estimate_add_outcome(failure_estimate& d, const failure_estimate_policy& p,
+                          bool failed, span_us took, mono_us now)
 {
-    const double ratio = failed
-                             ? p.fail_when_sick / p.fail_when_well
-                             : (1 - p.fail_when_sick) / (1 - p.fail_when_well);
-    set_sick(d, p, updated(doubt_now(d, p, now), ratio), now);
+    const double ratio =
+        failed ? p.failure_rate_unhealthy / p.failure_rate_healthy
+               : (1 - p.failure_rate_unhealthy) / (1 - p.failure_rate_healthy);
+    set_sick(d, p, updated(estimate_failure_probability(d, p, now), ratio),
+             now);
     if (failed) {
-        d.quick = took <= p.quick_failure;
-        d.quick_share += ((d.quick ? 1.0 : 0.0) - d.quick_share) / quick_weight;
+        d.quick = took <= p.fast_failure_time;
+        d.fast_failure_share +=
+            ((d.quick ? 1.0 : 0.0) - d.fast_failure_share) / quick_weight;
     }
     d.probe_at = failed ? now + p.probe_every : now;
 }
 
-void doubt_silent(worker_doubt& d, const doubt_policy& p, double waited_share,
-                  mono_us now)
+void estimate_add_overdue(failure_estimate& d, const failure_estimate_policy& p,
+                          double waited_share, mono_us now)
 {
     // When well, so few are still out; when sick by hanging, all are.
-    const double left = std::max(p.fail_when_well, 1 - waited_share);
-    set_sick(d, p, updated(doubt_now(d, p, now), p.fail_when_sick / left), now);
+    const double left = std::max(p.failure_rate_healthy, 1 - waited_share);
+    set_sick(d, p,
+             updated(estimate_failure_probability(d, p, now),
+                     p.failure_rate_unhealthy / left),
+             now);
 }
 
-bool doubt_take_probe(worker_doubt& d, const doubt_policy& p, mono_us now)
+bool estimate_take_probe(failure_estimate& d, const failure_estimate_policy& p,
+                         mono_us now)
 {
     if (now < d.probe_at)
         return false;
-    d.probe_at = now + (d.quick ? p.quick_failure : p.probe_every);
+    d.probe_at = now + (d.quick ? p.fast_failure_time : p.probe_every);
     return true;
 }
 
--- a/src/verdict/floor_func.cpp
+++ b/src/verdict/floor_func.cpp
@@ -9,41 +9,42 @@
 
 constexpr int path_severity = 150; // of a path that does not work at all
 
-bool asks(const claim& c)
+bool asks(const ejection_request& c)
 {
-    return c.alive && (c.severity >= claim_severity || c.path_bad || c.forced);
+    return c.alive &&
+           (c.severity >= ejection_severity || c.path_bad || c.forced);
 }
 
-int rank_of(const claim& c)
+int rank_of(const ejection_request& c)
 {
     return c.path_bad ? std::max(c.severity, path_severity) : c.severity;
 }
 
-double weight_of(const claim& c)
+double weight_of(const ejection_request& c)
 {
     // Evidence below the threshold lowers the share before it ejects: half
     // of the way up nothing, then down to the share of a held one.
     const double over =
-        (c.severity - claim_severity / 2.0) / (claim_severity / 2.0);
+        (c.severity - ejection_severity / 2.0) / (ejection_severity / 2.0);
     return over <= 0 ? 1 : 1 - (1 - held_weight) * std::min(1.0, over);
 }
 
 /// A trickle of real work shows when an ejected one is well again; the more
 /// so the better the first of it looks.
-double ejected_weight(const claim& c)
+double ejected_weight(const ejection_request& c)
 {
     if (c.path_bad || c.forced)
         return 0;
     return c.severity <= recovering_severity ? recovering_weight
-                                             : trickle_weight;
+                                             : ejected_probe_weight;
 }
 
 } // namespace
 
-std::vector<applied_claim> apply_claims(const std::vector<claim>& claims,
-                                        double floor)
+std::vector<ejection_decision>
+decide_ejections(const std::vector<ejection_request>& claims, double floor)
 {
-    std::vector<applied_claim> applied;
+    std::vector<ejection_decision> applied;
     std::vector<std::size_t> order;
     double left = 0;
     for (std::size_t n = 0; n < claims.size(); ++n) {
--- a/src/verdict/floor_type.hpp
+++ b/src/verdict/floor_type.hpp
@@ -12,7 +12,7 @@
 namespace jasminetray {
 
 /// One backend server as an entry node's decision about claims sees it.
-struct claim
+struct ejection_request
 {
     worker_id id{};
     double slots = 0;
@@ -23,19 +23,19 @@
 };
 
 /// What an entry node does with a backend server.
-struct applied_claim
+struct ejection_decision
 {
     worker_id id{};
-    double weight = 1; ///< 1 full share; trickle_weight when ejected
+    double weight = 1; ///< 1 full share; ejected_probe_weight when ejected
     bool ejected = false;
     bool held = false; ///< deserved ejection; the floor forbade it
 };
 
-constexpr double trickle_weight = 0.05;   ///< of an ejected backend server
-constexpr double held_weight = 0.25;      ///< of one that the floor holds
+constexpr double ejected_probe_weight = 0.05; ///< of an ejected backend server
+constexpr double held_weight = 0.25;          ///< of one that the floor holds
 constexpr int recovering_severity = 104;  ///< up to it: its trickle looks well
 constexpr double recovering_weight = 0.2; ///< of one whose trickle looks well
-constexpr int claim_severity = 100;       ///< asks for ejection
+constexpr int ejection_severity = 100;    ///< asks for ejection
 constexpr int operator_severity = 254;    ///< an operator's, under the floor
 constexpr int forced_severity = 255;      ///< an operator's, floor or not
 
@@ -43,7 +43,7 @@
 /// @param claims all backend servers of a service, also dead ones
 /// @param floor slots that must stay
 /// @return in the order of `claims`
-std::vector<applied_claim> apply_claims(const std::vector<claim>& claims,
-                                        double floor);
+std::vector<ejection_decision>
+decide_ejections(const std::vector<ejection_request>& claims, double floor);
 
 } // namespace jasminetray
--- a/src/verdict/path_func.cpp
+++ b/src/verdict/path_func.cpp
@@ -10,53 +10,56 @@
 
 namespace {
 
-path_step weigh_self(path_table& t, const path_policy& p, path_step step)
+path_transition weigh_self(path_table& t, const path_policy& p,
+                           path_transition step)
 {
     std::size_t bad = 0;
     for (const auto& [id, h] : t.paths)
         bad += h.avoided ? 1 : 0;
     const bool doubt =
-        t.paths.size() >= p.self_doubt_least &&
+        t.paths.size() >= p.local_fault_min_paths &&
         static_cast<double>(bad) >
-            p.self_doubt_share * static_cast<double>(t.paths.size());
-    if (doubt == t.self_doubt)
+            p.local_fault_share * static_cast<double>(t.paths.size());
+    if (doubt == t.local_fault)
         return step;
-    t.self_doubt = doubt;
-    return doubt ? path_step::doubt_self : path_step::trust_self;
+    t.local_fault = doubt;
+    return doubt ? path_transition::local_fault_began
+                 : path_transition::local_fault_ended;
 }
 
-path_step seen_avoided(path_health& h, const path_policy& p, bool lost)
+path_transition seen_avoided(path_health& h, const path_policy& p, bool lost)
 {
-    h.good_probes = lost ? 0 : h.good_probes + 1;
-    if (h.good_probes < p.probes_to_return)
-        return path_step::none;
+    h.successful_probes = lost ? 0 : h.successful_probes + 1;
+    if (h.successful_probes < p.probes_to_restore)
+        return path_transition::none;
     h = path_health{};
-    return path_step::restore;
+    return path_transition::restore;
 }
 
 } // namespace
 
-path_step path_seen(path_table& t, const path_policy& p, node_id exit,
-                    bool lost, mono_us now)
+path_transition path_record_result(path_table& t, const path_policy& p,
+                                   node_id exit, bool lost, mono_us now)
 {
     auto& h = t.paths[exit];
     if (h.avoided) {
         const auto step = seen_avoided(h, p, lost);
-        return step == path_step::none ? step : weigh_self(t, p, step);
+        return step == path_transition::none ? step : weigh_self(t, p, step);
     }
-    const double ratio = lost ? std::log(p.bad_loss / p.usual_loss)
-                              : std::log((1 - p.bad_loss) / (1 - p.usual_loss));
+    const double ratio =
+        lost ? std::log(p.degraded_loss / p.baseline_loss)
+             : std::log((1 - p.degraded_loss) / (1 - p.baseline_loss));
     h.score = std::max(0.0, h.score + ratio);
     if (h.score < p.threshold)
-        return path_step::none;
+        return path_transition::none;
     h.avoided = true;
     h.avoided_at = now;
     h.probe_at = now + p.probe_every;
-    return weigh_self(t, p, path_step::avoid);
+    return weigh_self(t, p, path_transition::avoid);
 }
 
-std::vector<node_id> path_probes(path_table& t, const path_policy& p,
-                                 mono_us now)
+std::vector<node_id> path_due_probes(path_table& t, const path_policy& p,
+                                     mono_us now)
 {
     std::vector<node_id> due;
     for (auto& [id, h] : t.paths) {
@@ -71,11 +74,12 @@
 bool path_usable(const path_table& t, node_id exit)
 {
     const auto it = t.paths.find(exit);
-    return it == t.paths.end() || !it->second.avoided || t.self_doubt;
+    return it == t.paths.end() || !it->second.avoided || t.local_fault;
 }
 
-std::vector<node_id> agreed_nodes(const std::vector<path_complaint>& all,
-                                  const path_policy& p)
+std::vector<node_id>
+suspected_exit_nodes(const std::vector<path_complaint>& all,
+                     const path_policy& p)
 {
     struct witnesses
     {
@@ -96,7 +100,7 @@
     return agreed;
 }
 
-void path_forget(path_table& t, const std::vector<node_id>& members)
+void path_prune(path_table& t, const std::vector<node_id>& members)
 {
     const std::set<node_id> known(members.begin(), members.end());
     for (auto it = t.paths.begin(); it != t.paths.end();)
--- a/src/verdict/path_type.hpp
+++ b/src/verdict/path_type.hpp
@@ -20,29 +20,29 @@
     double score = 0; ///< CUSUM of losses, never below 0
     bool avoided = false;
     mono_us avoided_at = 0;
-    mono_us probe_at = 0; ///< next ping of an avoided path
-    int good_probes = 0;  ///< pings answered in a row
+    mono_us probe_at = 0;      ///< next ping of an avoided path
+    int successful_probes = 0; ///< pings answered in a row
 };
 
 /// Settings of path verdicts.
 struct path_policy
 {
     double threshold = 10;              ///< evidence at which it is avoided
-    double usual_loss = 0.002;          ///< share of work lost on a good path
-    double bad_loss = 0.5;              ///< the alternative
+    double baseline_loss = 0.002;       ///< share of work lost on a good path
+    double degraded_loss = 0.5;         ///< the alternative
     span_us probe_every = us_per_s / 2; ///< of an avoided path
-    int probes_to_return = 3;
-    double self_doubt_share = 0.5;    ///< of paths that are avoided
-    std::size_t self_doubt_least = 3; ///< paths, to judge at all
-    std::size_t witnesses = 3;        ///< that must agree about a node
-    std::size_t witness_centres = 2;  ///< in this many data centres
+    int probes_to_restore = 3;
+    double local_fault_share = 0.5;        ///< of paths that are avoided
+    std::size_t local_fault_min_paths = 3; ///< paths, to judge at all
+    std::size_t witnesses = 3;             ///< that must agree about a node
+    std::size_t witness_centres = 2;       ///< in this many data centres
 };
 
 /// Paths of one entry node.
 struct path_table
 {
     std::unordered_map<node_id, path_health> paths;
-    bool self_doubt = false; ///< most of them are bad: it is this node
+    bool local_fault = false; ///< most of them are bad: it is this node
 };
 
 /// One node's complaint about another, from its membership record.
@@ -54,32 +54,33 @@
 };
 
 /// Whether a path's standing changed.
-enum class path_step : std::uint8_t
+enum class path_transition : std::uint8_t
 {
     none,
     avoid,
     restore,
-    doubt_self,
-    trust_self,
+    local_fault_began,
+    local_fault_ended,
 };
 
 /// Work or a ping on a path ended.
 /// @param lost no whole reply came back
-path_step path_seen(path_table& t, const path_policy& p, node_id exit,
-                    bool lost, mono_us now);
+path_transition path_record_result(path_table& t, const path_policy& p,
+                                   node_id exit, bool lost, mono_us now);
 
 /// Avoided paths whose ping is due; moves their next one on.
-std::vector<node_id> path_probes(path_table& t, const path_policy& p,
-                                 mono_us now);
+std::vector<node_id> path_due_probes(path_table& t, const path_policy& p,
+                                     mono_us now);
 
 /// Whether this node uses a path: not when avoided, unless it doubts itself.
 bool path_usable(const path_table& t, node_id exit);
 
 /// Exit nodes that enough witnesses complain about.
-std::vector<node_id> agreed_nodes(const std::vector<path_complaint>& all,
-                                  const path_policy& p);
+std::vector<node_id>
+suspected_exit_nodes(const std::vector<path_complaint>& all,
+                     const path_policy& p);
 
 /// Forgets paths to nodes that are no members any more.
-void path_forget(path_table& t, const std::vector<node_id>& members);
+void path_prune(path_table& t, const std::vector<node_id>& members);
 
 } // namespace jasminetray
--- a/src/verdict/verdict_cmd.cpp
+++ b/src/verdict/verdict_cmd.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-constexpr double base_weight = 1.0 / 5000; // of one outcome in base_rate
+constexpr double base_weight =
+    1.0 / 5000; // of one outcome in long_term_failure_rate
 constexpr double time_weight = 1.0 / 2000; // of one outcome in durations
 /// More evidence than this says nothing more. Without a bound six seconds of
 /// shared trouble left so much that 150 s of health did not undo it, and the
@@ -52,7 +53,7 @@
 void add(bank_score& s, double ratio, const weighed& o)
 {
     s.value = std::min(max_evidence, s.value + ratio);
-    s.rose_at = ratio > 0 ? o.now : s.rose_at;
+    s.last_increase_at = ratio > 0 ? o.now : s.last_increase_at;
     s.seen += 1;
     s.failed += o.failed ? 1 : 0;
     s.above += o.failed ? 0 : o.above / o.variance;
@@ -64,7 +65,7 @@
 using bank_ratios = std::array<double, alternatives>;
 
 /// Evidence of one outcome for each member of the bank.
-bank_ratios ratios_of(const service_usual& u, const weighed& o)
+bank_ratios ratios_of(const service_baseline& u, const weighed& o)
 {
     bank_ratios ratios{};
     for (std::size_t n = 0; n < fail_alternatives; ++n) {
@@ -81,8 +82,8 @@
 void add_outcome(evidence& e, const bank_ratios& ratios, const weighed& o)
 {
     if (!o.failed && o.above < bank_shifts[0] / 2) {
-        e.well_at[e.well_next] = o.now;
-        e.well_next = (e.well_next + 1) % recent_well;
+        e.success_times[e.success_next] = o.now;
+        e.success_next = (e.success_next + 1) % recent_successes;
     }
     // A failure tells nothing about durations.
     const auto members = o.failed ? fail_alternatives : alternatives;
@@ -123,7 +124,7 @@
     }
 }
 
-void learn_time(time_usual& t, double log_took)
+void learn_time(duration_baseline& t, double log_took)
 {
     t.seen += 1;
     const double weight = std::max(1 / t.seen, time_weight);
@@ -137,21 +138,24 @@
 
 /// The long memory moves only while the backend server looks well; else a
 /// slow decline would become its own excuse.
-void learn_usual(worker_health& h, const verdict_policy& p,
+void learn_usual(worker_health& h, const outlier_policy& p,
                  const observation& o)
 {
     const bool failed = o.kind == outcome_kind::failed;
     double score = 0;
     for (const auto& s : h.total.bank)
         score = std::max(score, s.value);
-    auto& t = h.usual.times[o.route_class % work_classes];
-    const bool well = h.state == standing::trusted && score < p.threshold / 3;
+    auto& t = h.usual.times[o.route_class % max_route_classes];
+    const bool well =
+        h.state == ejection_state::trusted && score < p.threshold / 3;
     if (well)
-        h.base_rate += base_weight * ((failed ? 1 : 0) - h.base_rate);
+        h.long_term_failure_rate +=
+            base_weight * ((failed ? 1 : 0) - h.long_term_failure_rate);
     if (!failed && (well || t.seen < first_outcomes))
         learn_time(t,
                    std::log(static_cast<double>(std::max<span_us>(1, o.took))));
-    h.usual.fail_rate = std::clamp(h.base_rate, min_rate, max_rate);
+    h.usual.fail_rate =
+        std::clamp(h.long_term_failure_rate, min_rate, max_rate);
 }
 
 /// A burst of failures that ended by itself. A backend server that flaps is
@@ -161,12 +165,12 @@
     if (h.flaps > max_burst_flaps || span > max_burst)
         return;
     h.burst_span = std::max(h.burst_span, span);
-    h.burst_at = now;
+    h.burst_seen_at = now;
 }
 
 /// Follows a climb of the evidence. Only one that reached the threshold
 /// teaches: lower ones happen by chance, and would make everyone wait.
-void follow_climb(worker_health& h, const verdict_policy& p, mono_us now)
+void follow_climb(worker_health& h, const outlier_policy& p, mono_us now)
 {
     if (strongest(h.total).value > climb_low * p.threshold)
         return;
@@ -179,8 +183,8 @@
 {
     const bool failed = o.failed;
     const double u = h.usual.fail_rate;
-    double ratio =
-        -fail_ratio(failed, std::max(h.sick_rate, alternative_rate(1, u)), u);
+    double ratio = -fail_ratio(
+        failed, std::max(h.ejected_failure_rate, alternative_rate(1, u)), u);
     if (!failed)
         ratio -= slow_ratio(bank_shifts[0], o.above, o.variance);
     h.return_score = std::max(0.0, h.return_score + ratio);
@@ -188,7 +192,7 @@
 
 } // namespace
 
-double threshold_for(double per_day, double rate)
+double evidence_threshold(double per_day, double rate)
 {
     constexpr double day = 86400;
     const double chances =
@@ -196,13 +200,13 @@
     return std::max(5.0, std::log(chances / per_day));
 }
 
-void health_sent(worker_health& h, const outstanding& o)
+void health_record_sent(worker_health& h, const outstanding& o)
 {
     h.open.push_back(o);
 }
 
-void health_seen(worker_health& h, const verdict_policy& p, std::uint64_t key,
-                 const observation& o, mono_us now)
+void health_record_outcome(worker_health& h, const outlier_policy& p,
+                           std::uint64_t key, const observation& o, mono_us now)
 {
     const auto it =
         std::find_if(h.open.begin(), h.open.end(),
@@ -215,15 +219,15 @@
         return;
     const bool failed = o.kind == outcome_kind::failed;
     // Durations count once a few were seen; until then only failures do.
-    const auto& t = h.usual.times[o.route_class % work_classes];
+    const auto& t = h.usual.times[o.route_class % max_route_classes];
     const bool known = t.seen >= first_outcomes;
-    const double above =
-        above_usual(h.usual, o.route_class, o.took) - cold_allowance(h, now);
+    const double above = log_excess(h.usual, o.route_class, o.took) -
+                         cold_start_allowance(h, now);
     const weighed x{failed, known ? above : 0,
-                    usual_variance(h.usual, o.route_class), now};
+                    baseline_variance(h.usual, o.route_class), now};
     h.last_fail_at = failed ? now : h.last_fail_at;
     add_recent(h, failed, x.above, now);
-    if (h.state == standing::ejected &&
+    if (h.state == ejection_state::ejected &&
         (h.scope == all_sources || h.scope == o.source))
         add_return(h, x);
     const auto ratios = ratios_of(h.usual, x);
@@ -232,15 +236,16 @@
         h.by_source.resize(o.source + 1);
     add_outcome(h.by_source[o.source], ratios, x);
     follow_top(h, o.source);
-    const auto patience = health_patience(h, p, now);
+    const auto patience = health_burst_wait(h, p, now);
     if (h.climb.reached_at != 0 && now >= h.climb.reached_at + patience)
         add_outcome(h.later, ratios, x);
     learn_usual(h, p, o);
-    if (h.state == standing::trusted)
+    if (h.state == ejection_state::trusted)
         follow_climb(h, p, now);
 }
 
-std::uint32_t health_class(worker_health& h, std::uint32_t route, mono_us now)
+std::uint32_t health_route_class(worker_health& h, std::uint32_t route,
+                                 mono_us now)
 {
     auto& all = h.classes;
     const auto own = std::find_if(all.begin(), all.end(), [&](const auto& x) {
@@ -252,18 +257,18 @@
     const auto at = own != all.end() ? own : oldest;
     const auto place = static_cast<std::size_t>(at - all.begin());
     if (own == all.end())
-        h.usual.times[place] = time_usual{};
+        h.usual.times[place] = duration_baseline{};
     *at = {route, now};
     return static_cast<std::uint32_t>(place);
 }
 
-std::size_t health_overdue(worker_health& h, span_us least, mono_us now)
+std::size_t health_mark_overdue(worker_health& h, span_us least, mono_us now)
 {
     std::size_t marked = 0;
     for (auto& o : h.open) {
         // Before durations are known the operator's word is the best there is.
         const auto bound = is_duration_known(h.usual, o.route_class)
-                               ? missing_age(h.usual, o.route_class)
+                               ? overdue_age(h.usual, o.route_class)
                                : o.target;
         if (o.overdue || now - o.started < std::max(least, bound))
             continue;
@@ -273,67 +278,68 @@
     return marked;
 }
 
-verdict_step health_check(worker_health& h, const verdict_policy& p,
-                          mono_us now)
+outlier_action health_check(worker_health& h, const outlier_policy& p,
+                            mono_us now)
 {
     if (h.flaps > 0 && now - h.flap_at > flap_memory) {
         h.flaps = 0;
         h.flap_at = now;
     }
-    if (h.state == standing::ejected) {
+    if (h.state == ejection_state::ejected) {
         const double needed = p.return_evidence + h.flaps;
         const bool due = now >= h.may_return_at && h.return_score >= needed;
-        return due ? verdict_step::restore : verdict_step::none;
+        return due ? outlier_action::restore : outlier_action::none;
     }
-    const auto s = health_suspect(h, p, now);
+    const auto s = health_suspicion(h, p, now);
     if (s.score < s.threshold) {
-        h.ask_wait = 0;
-        return verdict_step::none;
+        h.peer_query_wait = 0;
+        return outlier_action::none;
     }
     if (h.climb.reached_at == 0) {
         h.climb = {now, s.since};
         clear(h.later, now);
     }
     if (!health_confirmed(h, p, now))
-        return verdict_step::none;
+        return outlier_action::none;
     if (!p.ask_peers)
-        return verdict_step::eject;
-    if (now - h.asked_at < h.ask_wait)
-        return verdict_step::none;
-    h.asked_at = now;
-    return verdict_step::ask_peers;
+        return outlier_action::eject;
+    if (now - h.peers_asked_at < h.peer_query_wait)
+        return outlier_action::none;
+    h.peers_asked_at = now;
+    return outlier_action::ask_peers;
 }
 
-void health_eject(worker_health& h, const verdict_policy& p, mono_us now)
+void health_eject(worker_health& h, const outlier_policy& p, mono_us now)
 {
-    const auto s = health_suspect(h, p, now);
-    h.peak = std::max(s.score, p.threshold);
+    const auto s = health_suspicion(h, p, now);
+    h.ejection_peak = std::max(s.score, p.threshold);
     const auto& top = stream_of(h, s.scope).bank[s.index];
     // Judged against half of the failures that were seen: a milder sickness
     // than the one that was ejected must not pass for health.
     if (top.seen > 0)
-        h.sick_rate = std::clamp(top.failed / top.seen / 2, 0.2, 0.5);
-    h.state = standing::ejected;
+        h.ejected_failure_rate =
+            std::clamp(top.failed / top.seen / 2, 0.2, 0.5);
+    h.state = ejection_state::ejected;
     h.scope = s.scope;
     h.ejected_at = now;
     h.return_score = 0;
     h.flaps = std::min(h.flaps + 1, max_flaps);
     h.flap_at = now;
-    const auto out = p.min_out << (h.flaps - 1);
-    h.may_return_at = now + std::min(out, p.max_out);
+    const auto out = p.min_ejection << (h.flaps - 1);
+    h.may_return_at = now + std::min(out, p.max_ejection);
     clear_all(h, now);
 }
 
-void health_restore(worker_health& h, const verdict_policy& p, mono_us now)
+void health_restore(worker_health& h, const outlier_policy& p, mono_us now)
 {
     // Well again as soon as it could be looked at: it was a burst. When no
     // later failure was seen, it may have gone on for as long as before.
     const auto went_on = h.last_fail_at > h.ejected_at
                              ? h.last_fail_at - h.climb.reached_at
                              : h.ejected_at - h.climb.since;
-    if (p.learn_bursts)
+    if (p.tolerate_bursts)
         remember_burst(h, went_on, now);
-    h.state = standing::trusted;
+    h.state = ejection_state::trusted;
     h.flap_at = now;
     h.scope = all_sources;
     h.climb = excursion{};
--- a/src/verdict/verdict_math.cpp
+++ b/src/verdict/verdict_math.cpp
@@ -24,59 +24,62 @@
     return std::clamp(ratio, slow_clip_low, slow_clip_high);
 }
 
-double usual_variance(const service_usual& u, std::uint32_t route_class)
+double baseline_variance(const service_baseline& u, std::uint32_t route_class)
 {
-    return std::max(min_variance, u.times[route_class % work_classes].log_var);
+    return std::max(min_variance,
+                    u.times[route_class % max_route_classes].log_var);
 }
 
-double cold_allowance(const worker_health& h, mono_us now)
+double cold_start_allowance(const worker_health& h, mono_us now)
 {
     constexpr double cold_shift = 1.6; // five times slower is no sickness yet
-    return now < h.cold_until ? cold_shift : 0;
+    return now < h.cold_start_until ? cold_shift : 0;
 }
 
-double above_usual(const service_usual& u, std::uint32_t route_class,
-                   span_us took)
+double log_excess(const service_baseline& u, std::uint32_t route_class,
+                  span_us took)
 {
     const double log_took =
         std::log(static_cast<double>(std::max<span_us>(1, took)));
-    return log_took - u.times[route_class % work_classes].log_mean - u.shift;
+    return log_took - u.times[route_class % max_route_classes].log_mean -
+           u.shift;
 }
 
-bool is_duration_known(const service_usual& u, std::uint32_t route_class)
+bool is_duration_known(const service_baseline& u, std::uint32_t route_class)
 {
-    return u.times[route_class % work_classes].seen >= first_durations;
+    return u.times[route_class % max_route_classes].seen >=
+           min_duration_samples;
 }
 
-span_us missing_age(const service_usual& u, std::uint32_t route_class)
+span_us overdue_age(const service_baseline& u, std::uint32_t route_class)
 {
     // One piece of usual work in forty lasts for longer.
     constexpr double deviations = 2;
-    const auto& t = u.times[route_class % work_classes];
+    const auto& t = u.times[route_class % max_route_classes];
     const double log_age =
         t.log_mean + u.shift +
-        deviations * std::sqrt(usual_variance(u, route_class));
+        deviations * std::sqrt(baseline_variance(u, route_class));
     return static_cast<span_us>(std::exp(log_age));
 }
 
-double usual_survival(const service_usual& u, std::uint32_t route_class,
-                      span_us age)
+double baseline_survival(const service_baseline& u, std::uint32_t route_class,
+                         span_us age)
 {
     if (age <= 0)
         return 1;
-    const double z = above_usual(u, route_class, age) /
-                     std::sqrt(usual_variance(u, route_class));
+    const double z = log_excess(u, route_class, age) /
+                     std::sqrt(baseline_variance(u, route_class));
     // Real tails are heavier than a lognormal one: a share as large as the
     // usual failures takes arbitrarily long.
     return std::max(0.5 * std::erfc(z / std::sqrt(2.0)), u.fail_rate);
 }
 
-double silence_ratio(const service_usual& u, double rate,
-                     std::uint32_t route_class, span_us age)
+double outstanding_ratio(const service_baseline& u, double rate,
+                         std::uint32_t route_class, span_us age)
 {
     if (!is_duration_known(u, route_class))
         return 0;
-    const double usual = usual_survival(u, route_class, age);
+    const double usual = baseline_survival(u, route_class, age);
     const double sick = rate + (1 - rate) * usual;
     return std::min(std::log(sick / usual), std::log(rate / u.fail_rate));
 }
--- a/src/verdict/verdict_math.hpp
+++ b/src/verdict/verdict_math.hpp
@@ -16,13 +16,13 @@
 /// speak. A process that has just started knows none: judged by what it
 /// assumed, work that takes a second was missing at once, and sound backend
 /// servers were ejected all over a fleet that had been restarted.
-inline constexpr double first_durations = 10;
+inline constexpr double min_duration_samples = 10;
 
 /// Whether silence of work of this class can be told from usual work.
-bool is_duration_known(const service_usual& u, std::uint32_t route_class);
+bool is_duration_known(const service_baseline& u, std::uint32_t route_class);
 
 /// Age at which work of a known class is missing: few last so long.
-span_us missing_age(const service_usual& u, std::uint32_t route_class);
+span_us overdue_age(const service_baseline& u, std::uint32_t route_class);
 
 /// Failure rate of an alternative, kept apart from the usual rate: a bank
 /// member close to the usual one would drift up on ordinary noise.
@@ -38,21 +38,21 @@
 double slow_ratio(double shift, double above, double variance);
 
 /// ln(took) minus what is usual for the class now.
-double above_usual(const service_usual& u, std::uint32_t route_class,
-                   span_us took);
+double log_excess(const service_baseline& u, std::uint32_t route_class,
+                  span_us took);
 
 /// ln(factor) that a cold start may be slower by.
-double cold_allowance(const worker_health& h, mono_us now);
+double cold_start_allowance(const worker_health& h, mono_us now);
 
 /// Variance that ratios use; never so small that one answer decides.
-double usual_variance(const service_usual& u, std::uint32_t route_class);
+double baseline_variance(const service_baseline& u, std::uint32_t route_class);
 
 /// Share of usual work that takes longer than a time.
-double usual_survival(const service_usual& u, std::uint32_t route_class,
-                      span_us age);
+double baseline_survival(const service_baseline& u, std::uint32_t route_class,
+                         span_us age);
 
 /// Evidence of work that has not ended after a time, for a failure rate.
-double silence_ratio(const service_usual& u, double rate,
-                     std::uint32_t route_class, span_us age);
+double outstanding_ratio(const service_baseline& u, double rate,
+                         std::uint32_t route_class, span_us age);
 
 } // namespace jasminetray
--- a/src/verdict/verdict_peers.cpp
+++ b/src/verdict/verdict_peers.cpp
@@ -143,11 +143,11 @@
 }
 
 /// What is usual now, by the peers; never better than the own long memory.
-service_usual usual_now(const worker_health& h,
-                        const std::vector<peer_report>& reports)
+service_baseline usual_now(const worker_health& h,
+                           const std::vector<peer_report>& reports)
 {
     auto u = h.usual;
-    const double variance = usual_variance(h.usual, 0);
+    const double variance = baseline_variance(h.usual, 0);
     const auto fails =
         usual_of(samples_of(reports, peer_aspect::failures), 0, true);
     const auto times =
@@ -168,21 +168,21 @@
     double weight; ///< sum of 1 / variance
 };
 
-own_sample own_since(const worker_health& h, const verdict_policy& p,
+own_sample own_since(const worker_health& h, const outlier_policy& p,
                      const suspicion& s, mono_us now)
 {
     const auto& member = stream_of(h, s.scope).bank[s.index];
     if (now - member.since <= remembered_span || s.scope != all_sources)
         return {member.seen, member.failed, member.above, member.weight};
     const auto r = health_report(h, p, now - remembered_span, all_sources);
-    const double variance = usual_variance(h.usual, 0);
+    const double variance = baseline_variance(h.usual, 0);
     return {r.seen, r.failed, r.above / variance,
             (r.seen - r.failed) / variance};
 }
 
 /// The suspicion's evidence against what is usual by the peers.
-double rescore(const worker_health& h, const verdict_policy& p,
-               const suspicion& s, const service_usual& u, mono_us now)
+double rescore(const worker_health& h, const outlier_policy& p,
+               const suspicion& s, const service_baseline& u, mono_us now)
 {
     const auto own = own_since(h, p, s, now);
     if (s.index >= fail_alternatives) {
@@ -196,8 +196,8 @@
         (own.seen - own.failed) * fail_ratio(false, rate, u.fail_rate);
     for (const auto& o : h.open) {
         const bool counts = s.scope == all_sources || s.scope == o.source;
-        if (p.watch_silence && counts)
-            score += silence_ratio(u, rate, o.route_class, now - o.started);
+        if (p.count_outstanding && counts)
+            score += outstanding_ratio(u, rate, o.route_class, now - o.started);
     }
     return score;
 }
@@ -228,29 +228,31 @@
 
 } // namespace
 
-verdict_step health_judge(worker_health& h, const verdict_policy& p,
-                          const std::vector<peer_report>& reports, mono_us now)
+outlier_action health_compare_peers(worker_health& h, const outlier_policy& p,
+                                    const std::vector<peer_report>& reports,
+                                    mono_us now)
 {
-    if (p.learn_bursts && shared_burst(reports) > h.burst_span) {
+    if (p.tolerate_bursts && shared_burst(reports) > h.burst_span) {
         h.burst_span = shared_burst(reports);
-        h.burst_at = now;
+        h.burst_seen_at = now;
     }
     if (!health_confirmed(h, p, now))
-        return verdict_step::none;
-    const auto s = health_suspect(h, p, now);
+        return outlier_action::none;
+    const auto s = health_suspicion(h, p, now);
     if (s.score < s.threshold)
-        return verdict_step::none;
+        return outlier_action::none;
     const bool whole = s.scope == all_sources;
     const auto u = whole ? usual_now(h, reports) : h.usual;
     const bool shared = !whole && same_at_peers(reports);
     // Only the member that speaks is weighed again: the peers were asked
     // about the time since its evidence began.
     if (!shared && rescore(h, p, s, u, now) >= s.threshold - rounding)
-        return verdict_step::eject;
+        return outlier_action::eject;
     // Shared trouble can last: the peers are asked again, at longer and
     // longer intervals, and over the time that has passed by then.
-    h.ask_wait = std::min(max_wait, 2 * std::max(h.ask_wait, min_wait));
-    return verdict_step::hold;
+    h.peer_query_wait =
+        std::min(max_wait, 2 * std::max(h.peer_query_wait, min_wait));
+    return outlier_action::hold;
 }
 
 } // namespace jasminetray
--- a/src/verdict/verdict_query.cpp
+++ b/src/verdict/verdict_query.cpp
@@ -31,25 +31,25 @@
 /// Member of the bank of one stream that speaks loudest, with what
 /// outstanding work already says counted in.
 loudest_member stream_loudest(const worker_health& h, const evidence& e,
-                              const verdict_policy& p, std::uint32_t source,
+                              const outlier_policy& p, std::uint32_t source,
                               mono_us now)
 {
     loudest_member best{0, 0};
     auto usual = h.usual;
-    usual.shift += cold_allowance(h, now);
+    usual.shift += cold_start_allowance(h, now);
     for (std::size_t n = 0; n < alternatives; ++n) {
         double score = e.bank[n].value;
         const bool fails = n < fail_alternatives;
         for (const auto& o : h.open) {
-            if (!p.watch_silence || !fails)
+            if (!p.count_outstanding || !fails)
                 break;
             if (now - o.started <
-                usual.times[o.route_class % work_classes].median)
+                usual.times[o.route_class % max_route_classes].median)
                 continue; // nothing unusual yet
             const double rate = alternative_rate(n, usual.fail_rate);
             if (source == all_sources || o.source == source)
-                score +=
-                    silence_ratio(usual, rate, o.route_class, now - o.started);
+                score += outstanding_ratio(usual, rate, o.route_class,
+                                           now - o.started);
         }
         if (score > best.score)
             best = {n, score};
@@ -58,7 +58,7 @@
 }
 
 /// Whether the first of its trickle went well.
-bool is_recovering(const worker_health& h, const verdict_policy& p, mono_us now)
+bool is_recovering(const worker_health& h, const outlier_policy& p, mono_us now)
 {
     constexpr double share = 0.4; // of the evidence that a return needs
     return now >= h.may_return_at &&
@@ -66,7 +66,7 @@
 }
 
 /// What one stream says, as a suspicion.
-suspicion make_suspicion(const worker_health& h, const verdict_policy& p,
+suspicion make_suspicion(const worker_health& h, const outlier_policy& p,
                          std::uint32_t scope, mono_us now)
 {
     const auto& stream = stream_of(h, scope);
@@ -75,7 +75,7 @@
     mono_us since = member.value > 0 ? member.since : now;
     for (const auto& o : h.open) {
         if (is_duration_known(h.usual, o.route_class) &&
-            usual_survival(h.usual, o.route_class, now - o.started) <
+            baseline_survival(h.usual, o.route_class, now - o.started) <
                 rare_share)
             since = std::min(since, o.started);
     }
@@ -94,7 +94,7 @@
             continue;
         const auto& e = h.by_source[n];
         evidence_against += strongest(e).value;
-        for (const auto at : e.well_at)
+        for (const auto at : e.success_times)
             well += at >= worst.since ? 1 : 0;
     }
     const double rate =
@@ -114,23 +114,23 @@
         [](const auto& a, const auto& b) { return a.value < b.value; });
 }
 
-double health_score(const worker_health& h, const verdict_policy& p,
+double health_score(const worker_health& h, const outlier_policy& p,
                     mono_us now)
 {
     return stream_loudest(h, h.total, p, all_sources, now).score;
 }
 
-double health_threshold(const worker_health& h, const verdict_policy& p)
+double health_threshold(const worker_health& h, const outlier_policy& p)
 {
     const double again = h.flaps > 1 ? h.flaps - 1 : 0;
     const double flapped = p.threshold - flap_discount * again;
     return std::max(flapped, min_share * p.threshold);
 }
 
-span_us health_patience(const worker_health& h, const verdict_policy& p,
-                        mono_us now)
+span_us health_burst_wait(const worker_health& h, const outlier_policy& p,
+                          mono_us now)
 {
-    if (!p.learn_bursts || now - h.burst_at > burst_memory)
+    if (!p.tolerate_bursts || now - h.burst_seen_at > burst_memory)
         return 0;
     return std::min(
         max_patience,
@@ -142,13 +142,13 @@
     return scope < h.by_source.size() ? h.by_source[scope] : h.total;
 }
 
-suspicion health_suspect(const worker_health& h, const verdict_policy& p,
-                         mono_us now)
+suspicion health_suspicion(const worker_health& h, const outlier_policy& p,
+                           mono_us now)
 {
     const auto whole = make_suspicion(h, p, all_sources, now);
     const bool quiet =
         whole.score < whole.threshold && h.top_value < whole.threshold / 2;
-    if (quiet || !p.split_sources || h.by_source.size() < 2)
+    if (quiet || !p.per_source_ejection || h.by_source.size() < 2)
         return whole;
     suspicion worst;
     for (std::uint32_t n = 0; n < h.by_source.size(); ++n) {
@@ -167,10 +167,10 @@
     return worst;
 }
 
-bool health_confirmed(const worker_health& h, const verdict_policy& p,
+bool health_confirmed(const worker_health& h, const outlier_policy& p,
                       mono_us now)
 {
-    const auto patience = health_patience(h, p, now);
+    const auto patience = health_burst_wait(h, p, now);
     if (patience == 0)
         return true;
     if (h.climb.reached_at == 0 || now < h.climb.reached_at + patience)
@@ -179,7 +179,7 @@
     return later.score >= later_share * health_threshold(h, p);
 }
 
-peer_report health_report(const worker_health& h, const verdict_policy& p,
+peer_report health_report(const worker_health& h, const outlier_policy& p,
                           mono_us since, std::uint32_t source)
 {
     peer_report r;
@@ -196,17 +196,18 @@
     return r;
 }
 
-int health_severity(const worker_health& h, const verdict_policy& p,
+int health_severity(const worker_health& h, const outlier_policy& p,
                     mono_us now)
 {
     constexpr double at_threshold = 100;
     constexpr int min_ejected = 110;
     constexpr int most = 250; // above it speak operators
-    if (h.state == standing::ejected) {
+    if (h.state == ejection_state::ejected) {
         if (is_recovering(h, p, now))
             return static_cast<int>(at_threshold);
-        return std::clamp(static_cast<int>(at_threshold * h.peak / p.threshold),
-                          min_ejected, most);
+        return std::clamp(
+            static_cast<int>(at_threshold * h.ejection_peak / p.threshold),
+            min_ejected, most);
     }
     const double share = health_score(h, p, now) / health_threshold(h, p);
     return static_cast<int>(std::min(at_threshold - 1, at_threshold * share));
--- a/src/verdict/verdict_type.hpp
+++ b/src/verdict/verdict_type.hpp
@@ -16,10 +16,10 @@
 
 /// Routes of a backend server whose durations are told apart; beyond them the
 /// one that was seen least lately is forgotten.
-constexpr std::size_t work_classes = 16;
+constexpr std::size_t max_route_classes = 16;
 
 /// How long work of one class usually takes.
-struct time_usual
+struct duration_baseline
 {
     double log_mean = 9.9;  ///< mean of ln(microseconds)
     double log_var = 0.25;  ///< variance of the same
@@ -28,11 +28,12 @@
 };
 
 /// How a service usually behaves, by its own long memory and its peers.
-struct service_usual
+struct service_baseline
 {
     double fail_rate = 0.005; ///< share of work that fails
     double shift = 0;         ///< ln(factor) by which all are slower now
-    std::array<time_usual, work_classes> times; ///< by class of route
+    std::array<duration_baseline, max_route_classes>
+        times; ///< by class of route
 };
 
 /// What one piece of work showed.
@@ -46,10 +47,10 @@
 /// One observation.
 struct observation
 {
-    outcome_kind kind = outcome_kind::good;
+    outcome_kind kind = outcome_kind::success;
     span_us took = 0;              ///< time on the backend server
     std::uint32_t source = 0;      ///< data centre of the entry node; index
-    std::uint32_t route_class = 0; ///< class of route, below work_classes
+    std::uint32_t route_class = 0; ///< class of route, below max_route_classes
 };
 
 constexpr std::size_t fail_alternatives = 4; ///< sick by failing
@@ -66,13 +67,13 @@
 /// One member of the bank.
 struct bank_score
 {
-    double value = 0;    ///< CUSUM, never below 0
-    mono_us since = 0;   ///< when it last was 0
-    mono_us rose_at = 0; ///< when an outcome last spoke for sickness
-    double seen = 0;     ///< outcomes since then
-    double failed = 0;   ///< of these, failures
-    double above = 0;    ///< good ones: sum of (ln took - mean) / variance
-    double weight = 0;   ///< good ones: sum of 1 / variance
+    double value = 0;             ///< CUSUM, never below 0
+    mono_us since = 0;            ///< when it last was 0
+    mono_us last_increase_at = 0; ///< when an outcome last spoke for sickness
+    double seen = 0;              ///< outcomes since then
+    double failed = 0;            ///< of these, failures
+    double above = 0;  ///< good ones: sum of (ln took - mean) / variance
+    double weight = 0; ///< good ones: sum of 1 / variance
 };
 
 /// Sums of recent outcomes, so that a peer can be told what this backend
@@ -88,7 +89,7 @@
 constexpr std::size_t recent_buckets = 256;       ///< kept; 64 s in all
 constexpr span_us recent_width = 250 * us_per_ms; ///< of each
 
-constexpr std::size_t recent_well = 8; ///< remembered by each stream
+constexpr std::size_t recent_successes = 8; ///< remembered by each stream
 
 /// Evidence of one stream of outcomes: a backend server's whole work, or its
 /// work for the callers of one data centre.
@@ -96,8 +97,8 @@
 {
     std::array<bank_score, alternatives> bank;
     /// When the latest outcomes were that spoke for health; a ring.
-    std::array<mono_us, recent_well> well_at{};
-    std::size_t well_next = 0; ///< place of the next one in the ring
+    std::array<mono_us, recent_successes> success_times{};
+    std::size_t success_next = 0; ///< place of the next one in the ring
 };
 
 /// Where a backend server stands.
@@ -107,23 +108,23 @@
     ejected, ///< takes a trickle of idempotent work
 };
 
-inline constexpr std::array<std::string_view, 2> standing_names = {"trusted",
-                                                                   "ejected"};
+inline constexpr std::array<std::string_view, 2> ejection_state_names = {
+    "trusted", "ejected"};
 
 /// No single data centre: the verdict is about all callers.
 constexpr std::uint32_t all_sources = UINT32_MAX;
 
 /// Settings of a service's verdicts.
-struct verdict_policy
+struct outlier_policy
 {
-    double threshold = 15;           ///< evidence at which ejection comes
-    span_us min_out = us_per_s;      ///< shortest ejection
-    span_us max_out = 60 * us_per_s; ///< longest one that flapping causes
-    double return_evidence = 4.6;    ///< ln(100) in favour of "as usual"
-    bool learn_bursts = true;  ///< wait out bursts that used to heal alone
-    bool ask_peers = true;     ///< compare with peers before ejecting
-    bool watch_silence = true; ///< outstanding work counts before it ends
-    bool split_sources = true; ///< eject for one data centre only
+    double threshold = 15;                ///< evidence at which ejection comes
+    span_us min_ejection = us_per_s;      ///< shortest ejection
+    span_us max_ejection = 60 * us_per_s; ///< longest one that flapping causes
+    double return_evidence = 4.6;         ///< ln(100) in favour of "as usual"
+    bool tolerate_bursts = true;   ///< wait out bursts that used to heal alone
+    bool ask_peers = true;         ///< compare with peers before ejecting
+    bool count_outstanding = true; ///< outstanding work counts before it ends
+    bool per_source_ejection = true; ///< eject for one data centre only
 };
 
 /// A route that has a class of its own.
@@ -155,7 +156,7 @@
 /// Everything the exit side knows about one backend server.
 struct worker_health
 {
-    standing state = standing::trusted;
+    standing state = ejection_state::trusted;
     std::uint32_t scope = all_sources; ///< whose callers the ejection is for
     evidence total;                    ///< all callers
     std::vector<evidence> by_source;   ///< by data centre
@@ -163,25 +164,25 @@
     double top_value = 0;       ///< that score
     std::array<recent_bucket, recent_buckets> recent; ///< ring by time
     std::vector<outstanding> open; ///< invariant: at most its slots
-    service_usual usual;           ///< what "as usual" means now
+    service_baseline usual;        ///< what "as usual" means now
     // Invariant: no route has two slots; the class of a route is its place.
-    std::array<class_slot, work_classes> classes;
-    double base_rate = 0.005; ///< own long memory of failures
+    std::array<class_slot, max_route_classes> classes;
+    double long_term_failure_rate = 0.005; ///< own long memory of failures
     mono_us ejected_at = 0;
     mono_us may_return_at = 0;
-    double peak = 0;          ///< evidence at the ejection
-    double sick_rate = 0.2;   ///< of failures, as the ejection saw it
-    mono_us last_fail_at = 0; ///< newest failure
-    double return_score = 0;  ///< evidence for "as usual" since
-    excursion climb;          ///< of the evidence since it was last low
-    evidence later;           ///< only what came after the patience
-    span_us burst_span = 0;   ///< how long bursts went on at the threshold
-    mono_us burst_at = 0;     ///< when burst_span was last confirmed
-    mono_us cold_until = 0;   ///< a cold start is slow, not sick
-    std::uint32_t flaps = 0;  ///< ejections of late
-    mono_us flap_at = 0;      ///< when flaps last changed
-    mono_us asked_at = 0;     ///< when peers were last asked
-    span_us ask_wait = 0;     ///< until they may be asked again
+    double ejection_peak = 0;          ///< evidence at the ejection
+    double ejected_failure_rate = 0.2; ///< of failures, as the ejection saw it
+    mono_us last_fail_at = 0;          ///< newest failure
+    double return_score = 0;           ///< evidence for "as usual" since
+    excursion climb;              ///< of the evidence since it was last low
+    evidence later;               ///< only what came after the patience
+    span_us burst_span = 0;       ///< how long bursts went on at the threshold
+    mono_us burst_seen_at = 0;    ///< when burst_span was last confirmed
+    mono_us cold_start_until = 0; ///< a cold start is slow, not sick
+    std::uint32_t flaps = 0;      ///< ejections of late
+    mono_us flap_at = 0;          ///< when flaps last changed
+    mono_us peers_asked_at = 0;   ///< when peers were last asked
+    span_us peer_query_wait = 0;  ///< until they may be asked again
 };
 
 /// What a peer says about its backend server of the same service.
@@ -206,7 +207,7 @@
 };
 
 /// What the exit side should do about a backend server.
-enum class verdict_step : std::uint8_t
+enum class outlier_action : std::uint8_t
 {
     none,
     ask_peers, ///< evidence is high: get reports, then judge
--- a/test/fuzz_verdict.cpp
+++ b/test/fuzz_verdict.cpp
@@ -28,10 +28,10 @@
 struct verdict_world
 {
     std::vector<jt::worker_health> health{workers};
-    std::vector<jt::applied_claim> applied;
+    std::vector<jt::ejection_decision> applied;
     std::vector<bool> sick = std::vector<bool>(workers);
     std::vector<std::size_t> ejections = std::vector<std::size_t>(workers);
-    jt::verdict_policy policy;
+    jt::outlier_policy policy;
     jt::random_state rng{1};
     jt::mono_us now = jt::us_per_s;
     bool dip = false;
@@ -41,37 +41,37 @@
 
 void apply(verdict_world& w)
 {
-    std::vector<jt::claim> claims;
+    std::vector<jt::ejection_request> claims;
     for (std::size_t n = 0; n < workers; ++n) {
-        jt::claim c;
+        jt::ejection_request c;
         c.id = static_cast<jt::worker_id>(n);
         c.slots = 1;
         c.severity = jt::health_severity(w.health[n], w.policy, w.now);
         claims.push_back(c);
     }
     const double floor = FLAGS_off == "floor" ? 0 : floor_share * workers;
-    w.applied = jt::apply_claims(claims, floor);
+    w.applied = jt::decide_ejections(claims, floor);
 }
 
 void check(verdict_world& w, std::size_t n)
 {
     auto& h = w.health[n];
     auto step = jt::health_check(h, w.policy, w.now);
-    if (step == jt::verdict_step::ask_peers) {
-        const auto s = jt::health_suspect(h, w.policy, w.now);
+    if (step == jt::outlier_action::ask_peers) {
+        const auto s = jt::health_suspicion(h, w.policy, w.now);
         std::vector<jt::peer_report> reports;
         for (std::size_t k = 0; k < workers; ++k) {
-            if (k != n && w.health[k].state == jt::standing::trusted)
+            if (k != n && w.health[k].state == jt::ejection_state::trusted)
                 reports.push_back(
                     jt::health_report(w.health[k], w.policy, s.since, s.scope));
         }
-        step = jt::health_judge(h, w.policy, reports, w.now);
+        step = jt::health_compare_peers(h, w.policy, reports, w.now);
     }
-    if (step == jt::verdict_step::eject) {
+    if (step == jt::outlier_action::eject) {
         jt::health_eject(h, w.policy, w.now);
         ++w.ejections[n];
     }
-    if (step == jt::verdict_step::restore)
+    if (step == jt::outlier_action::restore)
         jt::health_restore(h, w.policy, w.now);
     apply(w);
 }
@@ -91,11 +91,12 @@
     const auto took = static_cast<jt::span_us>(
         20000 * std::exp(0.3 * jt::random_normal(w.rng)));
     const auto key = ++w.key;
-    jt::health_sent(w.health[n], {key, w.now, 0, 0});
-    jt::health_seen(w.health[n], w.policy, key,
-                    {failed ? jt::outcome_kind::failed : jt::outcome_kind::good,
-                     took, 0, 0},
-                    w.now);
+    jt::health_record_sent(w.health[n], {key, w.now, 0, 0});
+    jt::health_record_outcome(
+        w.health[n], w.policy, key,
+        {failed ? jt::outcome_kind::failed : jt::outcome_kind::success, took, 0,
+         0},
+        w.now);
     check(w, n);
 }
 
@@ -123,7 +124,7 @@
     w.sick.assign(workers, false);
     run_for(w, 150);
     for (const auto& h : w.health) {
-        if (h.state != jt::standing::trusted)
+        if (h.state != jt::ejection_state::trusted)
             return "a healthy one did not come back";
     }
     return "";
@@ -232,7 +233,7 @@
 verdict_world make_world()
 {
     verdict_world w;
-    w.policy.threshold = jt::threshold_for(0.01, rate);
+    w.policy.threshold = jt::evidence_threshold(0.01, rate);
     w.policy.ask_peers = FLAGS_off != "peers";
     w.policy.return_evidence = FLAGS_off == "return" ? 1e9 : 4.6;
     apply(w);
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -203,20 +203,20 @@
 // go, the others stay with a lowered share, and every node decides alike.
 TEST(floor, worst_first_and_never_below)
 {
-    std::vector<claim> claims;
+    std::vector<ejection_request> claims;
     for (int n = 0; n < 6; ++n) {
-        claim c;
+        ejection_request c;
         c.id = static_cast<worker_id>(n);
         c.slots = 1;
         c.severity = n == 0 ? 0 : 100 + n;
         claims.push_back(c);
     }
-    const auto a = apply_claims(claims, 3.6);
+    const auto a = decide_ejections(claims, 3.6);
     EXPECT_TRUE(a[5].ejected && a[4].ejected);
     EXPECT_TRUE(a[1].held && a[2].held && a[3].held);
     EXPECT_EQ(a[3].weight, held_weight);
     std::reverse(claims.begin(), claims.end());
-    const auto b = apply_claims(claims, 3.6);
+    const auto b = decide_ejections(claims, 3.6);
     EXPECT_TRUE(b[0].ejected && b[1].ejected);
 }
 
@@ -228,9 +228,9 @@
     const path_policy p;
     for (std::uint64_t n = 1; n <= 4; ++n) {
         for (int k = 0; k < 3; ++k)
-            path_seen(t, p, static_cast<node_id>(n), true, 1000);
+            path_record_result(t, p, static_cast<node_id>(n), true, 1000);
     }
-    EXPECT_TRUE(t.self_doubt);
+    EXPECT_TRUE(t.local_fault);
     EXPECT_TRUE(path_usable(t, node_id{1}));
 }
 
@@ -240,9 +240,9 @@
     std::vector<path_complaint> all = {{node_id{1}, 1, node_id{9}},
                                        {node_id{2}, 1, node_id{9}},
                                        {node_id{3}, 1, node_id{9}}};
-    EXPECT_TRUE(agreed_nodes(all, p).empty()); // one data centre only
+    EXPECT_TRUE(suspected_exit_nodes(all, p).empty()); // one data centre only
     all[2].centre = 2;
-    EXPECT_EQ(agreed_nodes(all, p).size(), 1U);
+    EXPECT_EQ(suspected_exit_nodes(all, p).size(), 1U);
 }
 
 // An operator's change is in force everywhere but in one data centre, 2.4 s
@@ -290,11 +290,11 @@
     c.name = "s";
     path_table paths;
     paths.paths[r.id].avoided = true;
-    view_apply(v, service_of("s"), c, paths, us_per_s);
+    view_apply_ejections(v, service_of("s"), c, paths, us_per_s);
     const auto* x = view_candidate(v, service_of("s"), w1);
     EXPECT_FALSE(x->path_bad);
     v.nodes[r.id].record.workers[0].draining = false;
-    view_apply(v, service_of("s"), c, paths, us_per_s);
+    view_apply_ejections(v, service_of("s"), c, paths, us_per_s);
     EXPECT_TRUE(x->path_bad);
 }
 
@@ -309,10 +309,10 @@
     view_update(v, r, liveness::dead, us_per_s);
     service_config c;
     c.name = "s";
-    view_apply(v, service_of("s"), c, {}, us_per_s);
+    view_apply_ejections(v, service_of("s"), c, {}, us_per_s);
     EXPECT_EQ(view_candidate(v, service_of("s"), w1)->weight, 0);
-    v.nodes[r.id].good_at = us_per_s;
-    view_apply(v, service_of("s"), c, {}, 2 * us_per_s);
+    v.nodes[r.id].last_reply_at = us_per_s;
+    view_apply_ejections(v, service_of("s"), c, {}, 2 * us_per_s);
     EXPECT_EQ(view_candidate(v, service_of("s"), w1)->weight, 1);
 }
 
@@ -321,7 +321,7 @@
     std::vector<candidate> all(2);
     all[0].id = worker_id{1};
     all[1].id = worker_id{2};
-    all[1].trickle = true;
+    all[1].probe_only = true;
     random_state rng;
     for (int n = 0; n < 1000; ++n) {
         const auto c = choose_worker(all, {}, false, {}, rng, us_per_s * 100);
--- a/test/test_doubt.cpp
+++ b/test/test_doubt.cpp
@@ -14,9 +14,9 @@
 constexpr mono_us start = 100 * us_per_s;
 constexpr span_us took = us_per_s / 2; // by most work
 
-doubt_policy on()
+failure_estimate_policy on()
 {
-    doubt_policy p;
+    failure_estimate_policy p;
     p.on = true;
     return p;
 }
@@ -55,39 +55,40 @@
 
 TEST(doubt, one_failure_makes_a_suspect_and_a_success_clears_it)
 {
-    worker_doubt d;
+    failure_estimate d;
     d.at = start;
-    doubt_seen(d, on(), true, took, start);
+    estimate_add_outcome(d, on(), true, took, start);
     EXPECT_TRUE(d.suspect);
-    doubt_seen(d, on(), false, took, start);
-    doubt_seen(d, on(), false, took, start);
+    estimate_add_outcome(d, on(), false, took, start);
+    estimate_add_outcome(d, on(), false, took, start);
     EXPECT_FALSE(d.suspect);
     // Just proven: failures happen to the well, one in fifty.
-    doubt_seen(d, on(), false, took, start);
-    doubt_seen(d, on(), true, took, start);
+    estimate_add_outcome(d, on(), false, took, start);
+    estimate_add_outcome(d, on(), true, took, start);
     EXPECT_FALSE(d.suspect);
-    doubt_seen(d, on(), true, took, start);
+    estimate_add_outcome(d, on(), true, took, start);
     EXPECT_TRUE(d.suspect);
 }
 
 TEST(doubt, it_fades_to_what_is_usual)
 {
-    worker_doubt d;
+    failure_estimate d;
     d.at = start;
-    doubt_seen(d, on(), true, took, start);
+    estimate_add_outcome(d, on(), true, took, start);
     const auto p = on();
-    EXPECT_GT(doubt_now(d, p, start), 0.7);
-    EXPECT_NEAR(doubt_now(d, p, start + 60 * us_per_s), p.sick_share, 0.01);
+    EXPECT_GT(estimate_failure_probability(d, p, start), 0.7);
+    EXPECT_NEAR(estimate_failure_probability(d, p, start + 60 * us_per_s),
+                p.unhealthy_share, 0.01);
 }
 
 TEST(doubt, one_silent_piece_of_work_makes_no_suspect)
 {
-    worker_doubt d;
+    failure_estimate d;
     d.at = start;
-    doubt_silent(d, on(), 0.85, start);
+    estimate_add_overdue(d, on(), 0.85, start);
     EXPECT_FALSE(d.suspect);
-    doubt_silent(d, on(), 0.85, start);
-    doubt_silent(d, on(), 0.85, start);
+    estimate_add_overdue(d, on(), 0.85, start);
+    estimate_add_overdue(d, on(), 0.85, start);
     EXPECT_TRUE(d.suspect);
 }
 
@@ -128,10 +129,10 @@
     auto now = start + g.limits.doubt.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
-    now += g.limits.doubt.quick_failure;
+    now += g.limits.doubt.fast_failure_time;
     EXPECT_TRUE(admit(g, work(3, now, us_per_s), now, last));
     gate_report_outcome(g, backend, true, at_once, now + at_once);
-    now += g.limits.doubt.quick_failure;
+    now += g.limits.doubt.fast_failure_time;
     EXPECT_FALSE(admit(g, work(4, now, us_per_s), now, last));
 }
 
@@ -144,7 +145,7 @@
     gate_report_outcome(g, backend, true, 3 * us_per_s, start);
     auto now = start + g.limits.doubt.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
-    now += g.limits.doubt.quick_failure;
+    now += g.limits.doubt.fast_failure_time;
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
 }
 
@@ -329,13 +330,13 @@
     return c;
 }
 
-worker_id placed(const std::vector<candidate>& all, bool may_fail)
+worker_id placed(const std::vector<candidate>& all, bool retryable)
 {
     balance_policy b;
     b.doubt = on();
     random_state rng{1};
-    const auto c =
-        place(all, place_policy{}, b, {may_fail, 2 * us_per_s}, {}, rng, start);
+    const auto c = choose_by_expected_loss(
+        all, placement_policy{}, b, {retryable, 2 * us_per_s}, {}, rng, start);
     return c ? all[c->index].id : worker_id{};
 }
 
@@ -391,8 +392,8 @@
     random_state rng{1};
     int probes = 0;
     for (int k = 0; k < 200; ++k) {
-        const auto c =
-            place(all, place_policy{}, b, {true, 2 * us_per_s}, {}, rng, start);
+        const auto c = choose_by_expected_loss(
+            all, placement_policy{}, b, {true, 2 * us_per_s}, {}, rng, start);
         ASSERT_TRUE(c);
         probes += c->index == 0 ? 0 : 1;
     }
@@ -412,17 +413,17 @@
         all[k].doubt = {0.05, start, false, 0, false};
         all[k].load_at = start;
     }
-    all[7].trickle = true;
+    all[7].probe_only = true;
     all[7].weight = 0.05;
     random_state rng{5};
     int sent = 0;
     int charges = 0;
     for (int k = 0; k < 200; ++k) {
-        const auto x =
-            place(all, place_policy{}, b, {true, 2 * us_per_s}, {}, rng, start);
+        const auto x = choose_by_expected_loss(
+            all, placement_policy{}, b, {true, 2 * us_per_s}, {}, rng, start);
         sent += x && x->index == 7 ? 1 : 0;
-        const auto y = place(all, place_policy{}, b, {false, 2 * us_per_s}, {},
-                             rng, start);
+        const auto y = choose_by_expected_loss(
+            all, placement_policy{}, b, {false, 2 * us_per_s}, {}, rng, start);
         charges += y && y->index == 7 ? 1 : 0;
     }
     EXPECT_GE(sent, 10);
@@ -442,10 +443,12 @@
     int probes = 0;
     int charges = 0;
     for (int k = 0; k < 200; ++k) {
-        const place_request lookup{true, us_per_s};
-        const place_request charge{false, us_per_s};
-        const auto x = place(all, place_policy{}, b, lookup, {}, rng, start);
-        const auto y = place(all, place_policy{}, b, charge, {}, rng, start);
+        const placement_request lookup{true, us_per_s};
+        const placement_request charge{false, us_per_s};
+        const auto x = choose_by_expected_loss(all, placement_policy{}, b,
+                                               lookup, {}, rng, start);
+        const auto y = choose_by_expected_loss(all, placement_policy{}, b,
+                                               charge, {}, rng, start);
         probes += x->index == 1 ? 1 : 0;
         charges += y->index == 1 ? 1 : 0;
     }
@@ -597,13 +600,13 @@
     all[2].id = static_cast<worker_id>(3); // well, and full
     std::vector<worker_id> tried;
     const balance_policy p;
-    const auto first = place_resort(all, p, tried, start + us_per_ms);
+    const auto first = choose_fallback(all, p, tried, start + us_per_ms);
     ASSERT_TRUE(first);
     EXPECT_EQ(first->index, 1U);
     tried.push_back(all[1].id);
-    EXPECT_EQ(place_resort(all, p, tried, start)->index, 0U);
+    EXPECT_EQ(choose_fallback(all, p, tried, start)->index, 0U);
     tried.push_back(all[0].id);
-    EXPECT_FALSE(place_resort(all, p, tried, start));
+    EXPECT_FALSE(choose_fallback(all, p, tried, start));
 }
 
 } // namespace
--- a/test/test_early_success.cpp
+++ b/test/test_early_success.cpp
@@ -96,13 +96,13 @@
         gate_report_outcome(g, backend, true, charge_time, start);
     auto& d = g.workers[backend].doubt;
     d.suspect = false;
-    d.sick = 0.3;
+    d.probability = 0.3;
     gate_error last{};
     auto r = work(1, start, false);
     r.route_class = charge_class;
     gate_admit(command_mode::apply, g, r, start, last);
     gate_check_early_success(g, backend, start + 60 * us_per_ms);
-    EXPECT_DOUBLE_EQ(d.sick, 0.3);
+    EXPECT_DOUBLE_EQ(d.probability, 0.3);
 }
 
 /// Returns the seconds for which a healthy backend server was held back in two
--- a/test/test_load_news.cpp
+++ b/test/test_load_news.cpp
@@ -16,14 +16,14 @@
 /// Words that a load which moves by one slot every 70 ms makes in a second.
 int words_in_a_second(double from, double to, double slots)
 {
-    const load_news_policy p;
+    const load_update_policy p;
     load_report told = at_load(from);
     mono_us told_at = 0;
     int words = 0;
     for (int k = 1; k <= 100; ++k) {
         const mono_us now = k * 10 * us_per_ms;
         const auto l = at_load(k / 7 % 2 == 0 ? from : to);
-        if (!is_load_news(l, told, slots, now - told_at, p))
+        if (!is_load_update_due(l, told, slots, now - told_at, p))
             continue;
         told = l;
         told_at = now;
@@ -48,11 +48,11 @@
 
 TEST(load_news, a_suspect_is_told_at_once)
 {
-    const load_news_policy p;
+    const load_update_policy p;
     auto l = at_load(0.1);
     l.suspect = true;
-    EXPECT_TRUE(is_load_news(l, at_load(0.1), 13, 0, p));
-    EXPECT_FALSE(is_load_news(at_load(0.1), at_load(0.1), 13, 0, p));
+    EXPECT_TRUE(is_load_update_due(l, at_load(0.1), 13, 0, p));
+    EXPECT_FALSE(is_load_update_due(at_load(0.1), at_load(0.1), 13, 0, p));
 }
 
 } // namespace
--- a/test/test_silence.cpp
+++ b/test/test_silence.cpp
@@ -12,9 +12,9 @@
 constexpr span_us target = 4 * us_per_s;
 constexpr std::uint32_t reads = 3;
 
-verdict_policy policy()
+outlier_policy policy()
 {
-    verdict_policy p;
+    outlier_policy p;
     p.ask_peers = false;
     return p;
 }
@@ -23,7 +23,7 @@
 void send(worker_health& h, std::uint64_t key, mono_us at,
           std::uint32_t route_class)
 {
-    health_sent(h, {key, at, 0, route_class, target, false});
+    health_record_sent(h, {key, at, 0, route_class, target, false});
 }
 
 /// Teaches how long work of a class takes.
@@ -34,8 +34,9 @@
         send(h, key, start - took, route_class);
         // Some answers come a little sooner or later than others.
         const auto varied = took + (k % 5 - 2) * took / 8;
-        health_seen(h, policy(), key,
-                    {outcome_kind::good, varied, 0, route_class}, start);
+        health_record_outcome(h, policy(), key,
+                              {outcome_kind::success, varied, 0, route_class},
+                              start);
     }
 }
 
@@ -50,11 +51,11 @@
     for (std::uint64_t k = 1; k <= 6; ++k)
         send(h, k, start, reads);
     const auto soon = start + 3 * us_per_s;
-    EXPECT_EQ(health_overdue(h, least, soon), 0U);
-    EXPECT_EQ(health_check(h, policy(), soon), verdict_step::none);
-    EXPECT_LT(health_suspect(h, policy(), soon).score, 1);
+    EXPECT_EQ(health_mark_overdue(h, least, soon), 0U);
+    EXPECT_EQ(health_check(h, policy(), soon), outlier_action::none);
+    EXPECT_LT(health_suspicion(h, policy(), soon).score, 1);
     // One that hangs shows all the same.
-    EXPECT_EQ(health_overdue(h, least, start + target), 6U);
+    EXPECT_EQ(health_mark_overdue(h, least, start + target), 6U);
 }
 
 // One failure after a restart is a failure and no more: the work beside it is
@@ -65,9 +66,9 @@
     for (std::uint64_t k = 1; k <= 6; ++k)
         send(h, k, start, reads);
     const auto soon = start + 2 * us_per_s;
-    health_seen(h, policy(), 1, {outcome_kind::failed, us_per_s, 0, reads},
-                soon);
-    EXPECT_EQ(health_check(h, policy(), soon), verdict_step::none);
+    health_record_outcome(h, policy(), 1,
+                          {outcome_kind::failed, us_per_s, 0, reads}, soon);
+    EXPECT_EQ(health_check(h, policy(), soon), outlier_action::none);
 }
 
 TEST(silence, what_lasts_longer_than_nearly_all_is_missing)
@@ -75,9 +76,9 @@
     worker_health h;
     teach(h, reads, us_per_s, 60);
     send(h, 1, start, reads);
-    EXPECT_EQ(health_overdue(h, least, start + 3 * us_per_s / 2), 0U);
-    EXPECT_EQ(health_overdue(h, least, start + target), 1U);
-    EXPECT_EQ(health_overdue(h, least, start + 2 * target), 0U); // once
+    EXPECT_EQ(health_mark_overdue(h, least, start + 3 * us_per_s / 2), 0U);
+    EXPECT_EQ(health_mark_overdue(h, least, start + target), 1U);
+    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * target), 0U); // once
 }
 
 // Callers of reads lose a third of their backend servers again and again,
@@ -89,14 +90,14 @@
     worker_health h;
     const std::uint32_t lookup_route = 5;
     const std::uint32_t read_route = 5 + 8 * 16;
-    const auto lookup = health_class(h, lookup_route, start);
-    const auto read = health_class(h, read_route, start);
+    const auto lookup = health_route_class(h, lookup_route, start);
+    const auto read = health_route_class(h, read_route, start);
     ASSERT_NE(lookup, read);
     teach(h, lookup, us_per_ms, 60);
     teach(h, read, 2 * us_per_s, 20);
     send(h, 1, start, read);
-    EXPECT_EQ(health_overdue(h, least, start + 2 * us_per_s), 0U);
-    EXPECT_EQ(health_class(h, read_route, start + 1), read);
+    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * us_per_s), 0U);
+    EXPECT_EQ(health_route_class(h, read_route, start + 1), read);
 }
 
 // Routes come and go with configurations for as long as the process lives. A
@@ -105,15 +106,15 @@
 TEST(silence, a_new_route_inherits_nothing)
 {
     worker_health h;
-    const auto first = health_class(h, 1, start);
+    const auto first = health_route_class(h, 1, start);
     teach(h, first, us_per_ms, 60);
-    for (std::uint32_t route = 2; route <= work_classes; ++route)
-        health_class(h, route, start + route);
-    const auto late = health_class(h, 99, start + us_per_s);
+    for (std::uint32_t route = 2; route <= max_route_classes; ++route)
+        health_route_class(h, route, start + route);
+    const auto late = health_route_class(h, 99, start + us_per_s);
     EXPECT_EQ(late, first);
     send(h, 1, start, late);
-    EXPECT_EQ(health_overdue(h, least, start + 2 * us_per_s), 0U);
-    EXPECT_NE(health_class(h, 1, start + us_per_s), late);
+    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * us_per_s), 0U);
+    EXPECT_NE(health_route_class(h, 1, start + us_per_s), late);
 }
 
 // A backend server that hangs is still ejected by its silence alone, once its
@@ -124,10 +125,10 @@
     teach(h, reads, us_per_s / 10, 60);
     for (std::uint64_t k = 1; k <= 6; ++k)
         send(h, k, start, reads);
-    auto step = verdict_step::none;
-    for (int k = 1; k <= 30 && step != verdict_step::eject; ++k)
+    auto step = outlier_action::none;
+    for (int k = 1; k <= 30 && step != outlier_action::eject; ++k)
         step = health_check(h, policy(), start + k * us_per_s / 10);
-    EXPECT_EQ(step, verdict_step::eject);
+    EXPECT_EQ(step, outlier_action::eject);
 }
 
 } // namespace
--- a/test/test_spread.cpp
+++ b/test/test_spread.cpp
@@ -29,7 +29,7 @@
 /// One backend server as it is, beside what entry nodes were told of it.
 struct served_one
 {
-    worker_doubt doubt;
+    failure_estimate doubt;
     std::vector<mono_us> ends; ///< of running work
     std::vector<mono_us> began;
     span_us phase = 0; ///< of its cycle of health, at `start`
@@ -69,7 +69,7 @@
                 std::remove_if(s.ends.begin(), s.ends.end(),
                                [now](mono_us at) { return at <= now; });
             for (auto it = over; it != s.ends.end(); ++it)
-                doubt_seen(s.doubt, balance.doubt, false, work, now);
+                estimate_add_outcome(s.doubt, balance.doubt, false, work, now);
             s.ends.erase(over, s.ends.end());
         }
     }
@@ -85,13 +85,15 @@
     }
 
     /// Whether the gate of a backend server lets work in.
-    bool is_let_in(served_one& x, bool may_fail, mono_us now)
+    bool is_let_in(served_one& x, bool retryable, mono_us now)
     {
         const auto& p = balance.doubt;
-        if (!doubt_holds(x.doubt, p, now))
+        if (!estimate_withholds_work(x.doubt, p, now))
             return true;
-        const bool may = may_fail || doubt_now(x.doubt, p, now) < p.forgive_at;
-        return may && doubt_take_probe(x.doubt, p, now);
+        const bool may =
+            retryable || estimate_failure_probability(x.doubt, p, now) <
+                             p.any_work_threshold;
+        return may && estimate_take_probe(x.doubt, p, now);
     }
 
     void run(served_one& x, mono_us now)
@@ -100,7 +102,7 @@
         if (x.well_for(now) > 0)
             x.ends.push_back(now + work);
         else
-            doubt_seen(x.doubt, balance.doubt, true, at_once, now);
+            estimate_add_outcome(x.doubt, balance.doubt, true, at_once, now);
     }
 
     /// One request, tried at up to four gates; two of five must not fail.
@@ -108,14 +110,15 @@
     {
         constexpr double repeatable = 0.6;
         constexpr int max_gates = 4;
-        const bool may_fail = random_unit(rng) < repeatable;
+        const bool retryable = random_unit(rng) < repeatable;
         std::vector<worker_id> tried;
         for (int k = 0; k < max_gates; ++k) {
-            const auto c = place(told, place_policy{}, balance,
-                                 {may_fail, 4 * us_per_s}, tried, rng, now);
+            const auto c = choose_by_expected_loss(
+                told, placement_policy{}, balance, {retryable, 4 * us_per_s},
+                tried, rng, now);
             if (!c)
                 return;
-            if (is_let_in(all[c->index], may_fail, now))
+            if (is_let_in(all[c->index], retryable, now))
                 return run(all[c->index], now);
             tried.push_back(told[c->index].id);
         }
