--- a/src/balance/balance_func.cpp
+++ b/src/balance/balance_func.cpp
@@ -1,4 +1,4 @@
-// Choosing a backend server; see balance_type.hpp.
+// Power of two choices; see balance_type.hpp.
 #include "balance/balance_type.hpp"
 
 #include <algorithm>
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Weights of the usable candidates; all zero when none is.
+/// Returns the weight of each candidate; 0 for those that are not usable.
 std::vector<double> usable_weights(const std::vector<candidate>& all,
                                    const balance_policy& p, bool idempotent,
                                    const std::vector<worker_id>& tried,
@@ -24,6 +24,7 @@
     return weights;
 }
 
+/// Draws a random index in proportion to the weights.
 std::size_t draw(const std::vector<double>& weights, double sum,
                  random_state& rng)
 {
@@ -78,8 +79,8 @@
         return std::nullopt;
     const auto first = draw(weights, sum, rng);
     const double first_cost = cost_of(all[first], p, now);
-    // An ejected one that was drawn is fed its trickle: compared by load it
-    // would always win, because it is idle, or lose, and never be judged.
+    // Probe traffic to an ejected backend server bypasses the comparison: it
+    // is idle and would always win or always lose.
     const double rest = sum - weights[first];
     if (all[first].probe_only || rest <= 0)
         return choice{first, first_cost, first_cost};
--- a/src/balance/balance_type.hpp
+++ b/src/balance/balance_type.hpp
@@ -1,6 +1,7 @@
-// Choosing a backend server: two random choices out of those that are
-// usable, compared by own work in flight plus the load that rode on the last
-// answer; own data centre first, spilling over by expected delay.
+// Load balancing by power of two choices: of two random usable backend
+// servers, the one with the lower load is chosen. Load is the own work in
+// flight or the load on the last answer, whichever is higher. Backend servers
+// in other data centres cost a fixed extra.
 #pragma once
 
 #include "base/id_type.hpp"
@@ -13,64 +14,65 @@
 
 namespace jasminetray {
 
-/// One backend server as an entry node chooses among them.
+/// One backend server that an entry node can choose.
 struct candidate
 {
     worker_id id{};
-    node_id exit{};   ///< node that guards it
+    node_id exit{};   ///< its exit node
     bool near = true; ///< in the entry node's data centre
     double slots = 1;
-    double weight = 1;              ///< after claims and floor; 0 for never
-    bool probe_only = false;        ///< ejected: idempotent work only
-    bool path_bad = false;          ///< this node's way there loses work
-    bool held = false;              ///< deserves ejection; the floor forbids it
-    double load = 0;                ///< of its gate, on its last answer
-    mono_us load_at = 0;            ///< when that answer came
-    int in_flight = 0;              ///< own work there
-    mono_us first_seen_at = 0;      ///< first seen; a cold start ramps up
-    failure_estimate doubt;         ///< as the exit node last told it
-    int record_failure_percent = 0; ///< percent, in the node's record
-    span_us work_us = 500000;       ///< that its work usually takes
+    double weight = 1;         ///< after ejections; 0 for never
+    bool probe_only = false;   ///< ejected: idempotent work only
+    bool path_bad = false;     ///< this node avoids the path to it
+    bool held = false;         ///< not ejected because of the floor
+    double load = 0;           ///< of its gate, per slot, when last reported
+    mono_us load_at = 0;       ///< time of that report
+    int in_flight = 0;         ///< own work there
+    mono_us first_seen_at = 0; ///< start of its ramp-up
+    failure_estimate estimate; ///< as last reported by the exit node
+    int record_failure_percent = 0; ///< failure probability in its record
+    span_us work_us = 500000;       ///< normal duration of its work
 };
 
-/// Settings of the choice.
+/// Settings of load balancing.
 struct balance_policy
 {
-    span_us load_decay = us_per_s; ///< a load fades over this time
+    span_us load_decay = us_per_s; ///< time after which a load is ignored
     span_us ramp = 10 * us_per_s;  ///< of a cold start
-    double ramp_start = 0.1;       ///< share that it starts with
-    double far_cost = 0.5;         ///< load that a far one must beat
-    failure_estimate_policy doubt; ///< placing by loss, where it is on
+    double ramp_start = 0.1;       ///< share of the weight at the start
+    double far_cost = 0.5;         ///< extra load of another data centre
+    failure_estimate_policy estimate;
 };
 
-/// Why a choice fell as it did, for the log line.
+/// Result of a choice, with the costs for the log.
 struct choice
 {
     std::size_t index = 0; ///< in the candidates
-    double cost = 0;       ///< of the chosen one
-    double other_cost = 0; ///< of the one it was compared with
+    double cost = 0;
+    double other_cost = 0; ///< of the runner-up
 };
 
-/// Whether a request was sent to a backend server already.
+/// Returns whether a request was sent to a backend server already.
 bool was_tried(const std::vector<worker_id>& tried, worker_id id);
 
-/// Expected delay of a candidate in units of its own service time.
+/// Returns the expected delay of a candidate, in units of its service time.
 double cost_of(const candidate& c, const balance_policy& p, mono_us now);
 
-/// Weight with the ramp of a cold start.
+/// Returns the weight, reduced during a cold start.
 double ramped_weight(const candidate& c, const balance_policy& p, mono_us now);
 
 /// Chooses a backend server, or nothing when none is usable.
 /// @param all backend servers of the service
-/// @param idempotent whether a trickle may be fed with this work
+/// @param idempotent allows ejected backend servers, as probe traffic
 /// @param tried those that this request was sent to already
 std::optional<choice> choose_worker(const std::vector<candidate>& all,
                                     const balance_policy& p, bool idempotent,
                                     const std::vector<worker_id>& tried,
                                     random_state& rng, mono_us now);
 
-/// Home of an idempotency key: the same for all entry nodes that know the
-/// same members (rendezvous hashing). Nothing when none is usable.
+/// Returns the backend server for an idempotency key by rendezvous hashing,
+/// so that entry nodes with equal membership agree; nothing when none is
+/// usable.
 std::optional<std::size_t> rendezvous_worker(const std::vector<candidate>& all,
                                              std::uint64_t key);
 
--- a/src/balance/load_news.cpp
+++ b/src/balance/load_news.cpp
@@ -1,4 +1,4 @@
-// Load news; see load_news.hpp.
+// Load updates; see load_update.hpp.
 #include "balance/load_news.hpp"
 
 #include <algorithm>
@@ -7,23 +7,23 @@
 
 namespace jasminetray {
 
-bool is_load_update_due(const load_report& l, const load_report& told,
+bool is_load_update_due(const load_report& l, const load_report& last_sent,
                         double slots, span_us since,
                         const load_update_policy& p)
 {
     if (since >= p.max_update_interval)
         return true;
-    // Suspicion decides where all work goes; it never waits.
-    if (l.suspect != told.suspect)
+    // A change of suspicion redirects all work, so it is sent at once.
+    if (l.suspect != last_sent.suspect)
         return true;
     if (since < p.min_update_interval)
         return false;
-    const bool busy = std::max(l.load, told.load) >= p.busy_threshold;
-    // A little less than a slot: loads are shares, and shares are rounded.
-    const double one = 0.9 / std::max(1.0, slots);
-    const double step = busy ? one : std::max(one, p.coarse_step);
-    return std::abs(l.load - told.load) >= step ||
-           std::abs(l.doubt - told.doubt) >= p.failure_probability_step;
+    const bool busy = std::max(l.load, last_sent.load) >= p.busy_threshold;
+    // Slightly below one slot, to tolerate rounding of the load.
+    const double slot_step = 0.9 / std::max(1.0, slots);
+    const double step = busy ? slot_step : std::max(slot_step, p.coarse_step);
+    return std::abs(l.load - last_sent.load) >= step ||
+           std::abs(l.doubt - last_sent.doubt) >= p.failure_probability_step;
 }
 
 } // namespace jasminetray
--- a/src/balance/place_func.cpp
+++ b/src/balance/place_func.cpp
@@ -1,4 +1,4 @@
-// Placing by expected loss; see place_type.hpp.
+// Placement by expected loss; see placement_type.hpp.
 #include "balance/place_type.hpp"
 
 #include <algorithm>
@@ -7,61 +7,61 @@
 
 namespace {
 
-/// Work at a candidate per slot: what it said last, which fades to what is
-/// usual, and never less than what this node has there itself.
+/// Returns the load per slot: the last report, which decays to the baseline,
+/// or the own work there when that is higher.
 double load_of(const candidate& c, const placement_policy& p,
                const balance_policy& b, mono_us now)
 {
     const double age = std::min(1.0, static_cast<double>(now - c.load_at) /
                                          static_cast<double>(b.load_decay));
-    const double said = c.load * (1 - age) + p.baseline_load * age;
-    return std::max(said, c.in_flight / c.slots);
+    const double reported = c.load * (1 - age) + p.baseline_load * age;
+    return std::max(reported, c.in_flight / c.slots);
 }
 
-/// Whether a candidate would refuse this work for what it has just said.
+/// Returns whether a candidate has recently reported that it withholds work.
 bool would_refuse(const candidate& c, const placement_policy& p, mono_us now)
 {
-    return c.doubt.suspect && now - c.doubt.at <= p.refusal_memory;
+    return c.estimate.suspect && now - c.estimate.at <= p.refusal_memory;
 }
 
-/// Whether work should show how a candidate is: it is a suspect, or nothing
-/// has been seen of it for so long that nobody knows, or it was ejected. In a
-/// data centre of 20 an ejected one never has the least expected loss; without
-/// work on purpose it was well again and idle for 8 to 10 s.
+/// Returns whether a candidate needs probe traffic: it is ejected, a suspect,
+/// or without recent outcomes. Its expected loss is never the lowest, so its
+/// recovery would otherwise go unnoticed.
 bool wants_probe(const candidate& c, const balance_policy& b, mono_us now)
 {
-    constexpr double unknown_share = 0.9; // of what is usual
-    return c.probe_only || c.doubt.suspect ||
-           estimate_failure_probability(c.doubt, b.doubt, now) >=
-               unknown_share * b.doubt.unhealthy_share;
+    constexpr double unknown_share = 0.9; // of the stationary probability
+    return c.probe_only || c.estimate.suspect ||
+           estimate_failure_probability(c.estimate, b.estimate, now) >=
+               unknown_share * b.estimate.unhealthy_share;
 }
 
-/// Whether a trusted candidate has had no work for so long that its evidence of
-/// health is old. Placing prefers fresher evidence, so in a low-traffic service
-/// an idle one would get no work for seconds.
+/// Returns whether a trusted candidate is idle and its estimate is stale.
+/// Placement prefers recent successes, so it would get no work for seconds in a
+/// service with little traffic.
 bool is_idle(const candidate& c, const balance_policy& b, mono_us now)
 {
-    constexpr double stale_share = 0.3; // of what is usual
-    return !c.doubt.suspect && c.load <= 0 && c.in_flight == 0 &&
-           estimate_failure_probability(c.doubt, b.doubt, now) >=
-               stale_share * b.doubt.unhealthy_share;
+    constexpr double stale_share = 0.3; // of the stationary probability
+    return !c.estimate.suspect && c.load <= 0 && c.in_flight == 0 &&
+           estimate_failure_probability(c.estimate, b.estimate, now) >=
+               stale_share * b.estimate.unhealthy_share;
 }
 
-/// One of some candidates at random, for a share of the work.
-std::optional<choice> draw_for(const std::vector<std::size_t>& some,
+/// Draws a random candidate for a share of the work.
+std::optional<choice> draw_for(const std::vector<std::size_t>& indices,
                                double share, random_state& rng)
 {
-    if (some.empty() || random_unit(rng) >= share)
+    if (indices.empty() || random_unit(rng) >= share)
         return std::nullopt;
-    return choice{some[random_below(rng, some.size())], 0, 0};
+    return choice{indices[random_below(rng, indices.size())], 0, 0};
 }
 
-/// A near candidate that gets probe traffic: an idle one, or a suspect; nothing
-/// in most cases.
-std::optional<choice>
-place_probe(const std::vector<candidate>& all, const placement_policy& p,
-            const balance_policy& b, const placement_request& r,
-            const std::vector<worker_id>& tried, random_state& rng, mono_us now)
+/// Chooses a near candidate for probe traffic; nothing in most cases.
+std::optional<choice> choose_probe_target(const std::vector<candidate>& all,
+                                          const placement_policy& p,
+                                          const balance_policy& b,
+                                          const placement_request& r,
+                                          const std::vector<worker_id>& tried,
+                                          random_state& rng, mono_us now)
 {
     if (!r.retryable)
         return std::nullopt;
@@ -76,9 +76,9 @@
         else if (wants_probe(c, b, now))
             unproven.push_back(n);
     }
-    const auto share_of = [&p](const std::vector<std::size_t>& some) {
+    const auto share_of = [&p](const std::vector<std::size_t>& targets) {
         const double by_count =
-            p.probe_share_per_candidate * static_cast<double>(some.size());
+            p.probe_share_per_candidate * static_cast<double>(targets.size());
         return std::clamp(by_count, p.probe_share, p.max_probe_share);
     };
     if (const auto c = draw_for(idle, share_of(idle), rng))
@@ -92,11 +92,12 @@
                      const balance_policy& b, const placement_request& r,
                      mono_us now)
 {
-    const double sick = estimate_failure_probability(c.doubt, b.doubt, now);
-    const double fails = b.doubt.failure_rate_unhealthy * sick;
+    const double unhealthy =
+        estimate_failure_probability(c.estimate, b.estimate, now);
+    const double fails = b.estimate.failure_rate_unhealthy * unhealthy;
     const double load = load_of(c, p, b, now);
-    // What is beyond the slots waits; one full turn of all slots takes as
-    // long as a piece of work.
+    // Work beyond the slots waits; all slots turn over in the time that one
+    // piece of work takes.
     const double turns = std::max(0.0, load + 1 / c.slots - 1);
     const double wait = turns * static_cast<double>(c.work_us) /
                         static_cast<double>(std::max<span_us>(1, r.target));
@@ -115,23 +116,23 @@
     std::optional<choice> best;
     for (std::size_t n = 0; n < all.size(); ++n) {
         const auto& c = all[n];
-        if (c.weight <= 0 || c.path_bad || !c.doubt.suspect ||
+        if (c.weight <= 0 || c.path_bad || !c.estimate.suspect ||
             was_tried(tried, c.id))
             continue;
-        const double sick = estimate_failure_probability(c.doubt, b.doubt, now);
-        if (!best || sick < best->cost)
-            best = choice{n, sick, sick};
+        const double unhealthy =
+            estimate_failure_probability(c.estimate, b.estimate, now);
+        if (!best || unhealthy < best->cost)
+            best = choice{n, unhealthy, unhealthy};
     }
     return best;
 }
 
-std::optional<choice> place(const std::vector<candidate>& all,
-                            const placement_policy& p, const balance_policy& b,
-                            const placement_request& r,
-                            const std::vector<worker_id>& tried,
-                            random_state& rng, mono_us now)
+std::optional<choice> choose_by_expected_loss(
+    const std::vector<candidate>& all, const placement_policy& p,
+    const balance_policy& b, const placement_request& r,
+    const std::vector<worker_id>& tried, random_state& rng, mono_us now)
 {
-    auto best = place_probe(all, p, b, r, tried, rng, now);
+    auto best = choose_probe_target(all, p, b, r, tried, rng, now);
     if (best)
         return best;
     double second = 0;
--- a/src/balance/view_func.cpp
+++ b/src/balance/view_func.cpp
@@ -1,4 +1,4 @@
-// Keeping the view up to date; see view_type.hpp.
+// Updates of the fleet view; see view_type.hpp.
 #include "balance/view_type.hpp"
 
 #include "base/text_func.hpp"
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr span_us spoken_memory = 2 * us_per_s; // then the record counts
-constexpr span_us good_memory = 5 * us_per_s;   // a path that just worked
+constexpr span_us answer_severity_ttl = 2 * us_per_s;
+constexpr span_us reply_ttl = 5 * us_per_s;
 
-std::size_t place_of(const service_view& s, worker_id id)
+std::size_t index_of(const service_view& s, worker_id id)
 {
     const auto it =
         std::find_if(s.candidates.begin(), s.candidates.end(),
@@ -26,13 +26,13 @@
 void erase_at(service_view& s, std::size_t n)
 {
     const auto at = static_cast<std::ptrdiff_t>(n);
-    s.total -= s.claims[n].slots;
+    s.total -= s.ejection_requests[n].slots;
     s.candidates.erase(s.candidates.begin() + at);
-    s.claims.erase(s.claims.begin() + at);
-    s.spoken.erase(s.spoken.begin() + at);
+    s.ejection_requests.erase(s.ejection_requests.begin() + at);
+    s.answer_severities.erase(s.answer_severities.begin() + at);
 }
 
-/// Drops backend servers of a node that are not in `keep`.
+/// Removes backend servers of a node that are not in `keep`.
 void drop_others(fleet_view& v, const node_record& old,
                  const std::set<worker_id>& keep)
 {
@@ -40,7 +40,7 @@
         const auto it = v.services.find(w.service);
         if (keep.count(w.id) != 0 || it == v.services.end())
             continue;
-        const auto n = place_of(it->second, w.id);
+        const auto n = index_of(it->second, w.id);
         if (n < it->second.candidates.size())
             erase_at(it->second, n);
         if (it->second.candidates.empty())
@@ -52,11 +52,11 @@
                 mono_us now)
 {
     auto& s = v.services[w.service];
-    const auto n = place_of(s, w.id);
+    const auto n = index_of(s, w.id);
     if (n == s.candidates.size()) {
         s.candidates.emplace_back();
-        s.claims.emplace_back();
-        s.spoken.emplace_back();
+        s.ejection_requests.emplace_back();
+        s.answer_severities.emplace_back();
         s.candidates[n].id = w.id;
         s.candidates[n].first_seen_at = now;
     }
@@ -67,36 +67,38 @@
     if (w.doubt != c.record_failure_percent) {
         c.record_failure_percent = w.doubt;
         constexpr double percent = 100;
-        c.doubt.sick = w.doubt / percent;
-        c.doubt.suspect =
+        c.estimate.probability = w.doubt / percent;
+        c.estimate.suspect =
             w.doubt >= percent * failure_estimate_policy{}.suspect_threshold;
-        c.doubt.at = now;
+        c.estimate.at = now;
     }
-    s.total += c.slots - s.claims[n].slots;
-    s.claims[n].id = w.id;
-    s.claims[n].slots = c.slots;
+    s.total += c.slots - s.ejection_requests[n].slots;
+    s.ejection_requests[n].id = w.id;
+    s.ejection_requests[n].slots = c.slots;
 }
 
-bool is_doubted(const fleet_view& v, node_id id)
+bool is_suspected(const fleet_view& v, node_id id)
 {
-    return std::find(v.doubted.begin(), v.doubted.end(), id) != v.doubted.end();
+    return std::find(v.suspected_nodes.begin(), v.suspected_nodes.end(), id) !=
+           v.suspected_nodes.end();
 }
 
-void fill_claim(fleet_view& v, const view_node& node, const worker_record& w,
-                ejection_request& c, const answer_severity& spoken,
-                const path_table& paths, mono_us now)
+void fill_ejection_request(fleet_view& v, const view_node& node,
+                           const worker_record& w, ejection_request& c,
+                           const answer_severity& answer,
+                           const path_table& paths, mono_us now)
 {
-    // Others may call a node dead that this one still reaches: a one-way
-    // partition is no death, and its capacity stays in use here.
+    // In a one-way partition other nodes may declare a node dead that this one
+    // still reaches; its capacity stays in use here.
     const bool reached =
-        node.last_reply_at != 0 && now - node.last_reply_at < good_memory;
+        node.last_reply_at != 0 && now - node.last_reply_at < reply_ttl;
     c.alive = (node.state != liveness::dead || reached) &&
               !node.record.leaving && !w.draining;
     const bool scoped = w.scope != centre_id{} && w.scope != v.centre;
     c.severity = scoped ? 0 : w.severity;
-    if (spoken.at != 0 && now - spoken.at < spoken_memory)
-        c.severity = spoken.severity;
-    if (is_doubted(v, node.record.id))
+    if (answer.at != 0 && now - answer.at < answer_severity_ttl)
+        c.severity = answer.severity;
+    if (is_suspected(v, node.record.id))
         c.severity = std::max(c.severity, ejection_severity);
     c.path_bad = !path_usable(paths, node.record.id);
     c.forced = c.severity >= forced_severity;
@@ -151,14 +153,16 @@
     auto& s = it->second;
     for (std::size_t n = 0; n < s.candidates.size(); ++n) {
         const auto node = v.nodes.find(s.candidates[n].exit);
-        const auto* w = node == v.nodes.end()
-                            ? nullptr
-                            : find_worker(node->second.record, s.claims[n].id);
+        const auto* w =
+            node == v.nodes.end()
+                ? nullptr
+                : find_worker(node->second.record, s.ejection_requests[n].id);
         if (w != nullptr)
-            fill_claim(v, node->second, *w, s.claims[n], s.spoken[n], paths,
-                       now);
+            fill_ejection_request(v, node->second, *w, s.ejection_requests[n],
+                                  s.answer_severities[n], paths, now);
     }
-    const auto applied = decide_ejections(s.claims, floor_slots(c, s.total));
+    const auto applied =
+        decide_ejections(s.ejection_requests, floor_slots(c, s.total));
     s.at_floor = false;
     for (std::size_t n = 0; n < applied.size(); ++n) {
         auto& x = s.candidates[n];
@@ -167,7 +171,8 @@
         x.weight = applied[n].weight;
         x.probe_only = applied[n].ejected;
         x.held = applied[n].held;
-        x.path_bad = s.claims[n].path_bad && s.claims[n].alive;
+        x.path_bad =
+            s.ejection_requests[n].path_bad && s.ejection_requests[n].alive;
         s.at_floor = s.at_floor || applied[n].held;
         if (was_held != x.held || was_ejected != x.probe_only)
             changes.push_back({x.id, x.probe_only, x.held});
@@ -181,9 +186,9 @@
     c.load = l.load;
     c.load_at = now;
     c.work_us = l.work;
-    c.doubt.sick = l.doubt / percent;
-    c.doubt.suspect = l.suspect;
-    c.doubt.at = now;
+    c.estimate.probability = l.doubt / percent;
+    c.estimate.suspect = l.suspect;
+    c.estimate.at = now;
 }
 
 candidate* view_candidate(fleet_view& v, service_id service, worker_id id)
@@ -191,7 +196,7 @@
     const auto it = v.services.find(service);
     if (it == v.services.end())
         return nullptr;
-    const auto n = place_of(it->second, id);
+    const auto n = index_of(it->second, id);
     return n < it->second.candidates.size() ? &it->second.candidates[n]
                                             : nullptr;
 }
--- a/src/verdict/doubt_type.hpp
+++ b/src/verdict/doubt_type.hpp
@@ -1,78 +1,68 @@
-// Doubt: how likely a backend server is sick at this moment. Verdicts
-// (verdict_type.hpp) want proof before they take a backend server out; doubt
-// is the reversible first step that one failure is enough for. It answers
-// this load: at any time up to a third of a service's backend servers fail
-// nine in ten pieces of work for some seconds, at once, with a good health
-// path; so they look idle, and whoever sends by load alone sends to them.
+// Estimates the probability that a backend server is failing right now. The
+// outlier detection needs strong evidence before it ejects a backend server;
+// this estimate reacts to a single failure and recovers by itself. It keeps
+// load based balancing from sending requests to a backend server that looks
+// idle because it fails requests at once.
 //
-// Two hidden states, well and sick, with known rates of moving between them;
-// each outcome moves the odds by its likelihood ratio. Plain data and pure
-// functions.
+// The model is a two-state Markov chain (healthy and unhealthy) with known
+// transition rates; each outcome updates the odds by its likelihood ratio.
 #pragma once
 
 #include "base/time_type.hpp"
 
 namespace jasminetray {
 
-/// What is known about sickness before anything was seen. The defaults are
-/// from outcomes of 21 backend servers over 32 s each: phases of 5 to 12 s,
-/// 0.9 of work failing in them. That one in fifty fails outside is assumed.
+/// Parameters of the failure model.
 struct failure_estimate_policy
 {
-    bool on = false; ///< only where backend servers are known to do this
-    double unhealthy_share = 0.3;         ///< of backend servers, at any time
-    span_us sick_span = 8 * us_per_s;     ///< mean length of a sick phase
-    double failure_rate_unhealthy = 0.85; ///< share of work
-    double failure_rate_healthy = 0.02;   ///< the same, with calls' failures
-    double suspect_threshold = 0.5;       ///< doubt at which work is held back
-    double clear_threshold = 0.3;         ///< doubt below which it comes again
-    /// Doubt at which a suspect is probed by any work. Where no work may fail
-    /// nothing else would ever show that it is well; from one failure doubt
-    /// fades to this in 10 s, longer than most sick phases last.
+    bool on = false;                       ///< whether work is withheld at all
+    double unhealthy_share = 0.3;          ///< of backend servers, at any time
+    span_us unhealthy_span = 8 * us_per_s; ///< mean length of a failure phase
+    double failure_rate_unhealthy = 0.85;
+    double failure_rate_healthy = 0.02;
+    double suspect_threshold = 0.5; ///< probability that makes a suspect
+    double clear_threshold = 0.3;   ///< probability that ends the suspicion
+    /// Probability below which any work may probe a suspect. A service without
+    /// idempotent work would otherwise never detect the recovery.
     double any_work_threshold = 0.4;
-    span_us probe_every = us_per_s / 2; ///< of a suspect, by idempotent work
-    /// A backend server that fails at once shows within this time that it is
-    /// still sick. A probe that lives longer lets the next one in: waiting for
-    /// whole answers kept a well one out for 2 to 3 s of every 9.
+    span_us probe_every = us_per_s / 2; ///< interval of probes of a suspect
+    /// Time within which a fast failure ends. A probe that outlives it lets
+    /// the next probe in.
     span_us fast_failure_time = 50 * us_per_ms;
 };
 
-/// What is believed about one backend server.
+/// Failure estimate of one backend server.
 struct failure_estimate
 {
-    double sick = 0.1; ///< probability at `at`; invariant: 0 < sick < 1
-    mono_us at = 0;    ///< when it was last brought up to date
-    bool suspect =
-        false; ///< between suspect_threshold and clear_threshold it stays
-    mono_us probe_at = 0; ///< a suspect's next idempotent work
-    bool quick = false;   ///< its last failure came at once
-    /// Of its failures, those that came at once; a moving mean.
-    double fast_failure_share = 0.5;
+    double probability = 0.1; ///< at `at`; invariant: 0 < probability < 1
+    mono_us at = 0;           ///< last update
+    bool suspect = false;     ///< work is withheld; has hysteresis
+    mono_us probe_at = 0;     ///< earliest next probe of a suspect
+    bool last_failure_fast = false;
+    double fast_failure_share = 0.5; ///< moving mean over its failures
 };
 
-/// Probability of sickness now: without outcomes it drifts back to what is
-/// usual, so an old failure is forgiven and an old success is no proof.
+/// Returns the probability at `now`. Without outcomes it decays to the
+/// stationary share of unhealthy backend servers.
 double estimate_failure_probability(const failure_estimate& d,
                                     const failure_estimate_policy& p,
                                     mono_us now);
 
-/// Whether work is held back now. Doubt fades by itself, so that nobody is
-/// shut out for good.
+/// Returns whether work is withheld at `now`. Ends by decay at the latest.
 bool estimate_withholds_work(const failure_estimate& d,
                              const failure_estimate_policy& p, mono_us now);
 
-/// Takes in an outcome.
+/// Updates the estimate with an outcome.
 /// @param took from the start of the work to its end
 void estimate_add_outcome(failure_estimate& d, const failure_estimate_policy& p,
                           bool failed, span_us took, mono_us now);
 
-/// Takes in work that has no answer for longer than usual.
-/// @param waited_share of usual work that ends sooner, 0 to 1
+/// Updates the estimate with work that is overdue.
+/// @param waited_share share of normal work that ends sooner, 0 to 1
 void estimate_add_overdue(failure_estimate& d, const failure_estimate_policy& p,
                           double waited_share, mono_us now);
 
-/// Whether a suspect may be given one piece of idempotent work now; notes
-/// that it was.
+/// Returns whether a suspect may get one probe now, and schedules the next.
 bool estimate_take_probe(failure_estimate& d, const failure_estimate_policy& p,
                          mono_us now);
 
--- a/src/verdict/floor_func.cpp
+++ b/src/verdict/floor_func.cpp
@@ -1,4 +1,4 @@
-// Applying claims down to the floor; see floor_type.hpp.
+// Ejection decisions under the capacity floor; see floor_type.hpp.
 #include "verdict/floor_type.hpp"
 
 #include <algorithm>
@@ -7,30 +7,31 @@
 
 namespace {
 
-constexpr int path_severity = 150; // of a path that does not work at all
+constexpr int min_path_rank = 150; // of an avoided path
 
-bool asks(const ejection_request& c)
+bool wants_ejection(const ejection_request& c)
 {
     return c.alive &&
            (c.severity >= ejection_severity || c.path_bad || c.forced);
 }
 
-int rank_of(const ejection_request& c)
+/// Returns the priority of a request; higher ones are granted first.
+int severity_rank(const ejection_request& c)
 {
-    return c.path_bad ? std::max(c.severity, path_severity) : c.severity;
+    return c.path_bad ? std::max(c.severity, min_path_rank) : c.severity;
 }
 
 double weight_of(const ejection_request& c)
 {
-    // Evidence below the threshold lowers the share before it ejects: half
-    // of the way up nothing, then down to the share of a held one.
+    // From half of the ejection severity on the weight falls linearly to that
+    // of a held backend server.
     const double over =
         (c.severity - ejection_severity / 2.0) / (ejection_severity / 2.0);
     return over <= 0 ? 1 : 1 - (1 - held_weight) * std::min(1.0, over);
 }
 
-/// A trickle of real work shows when an ejected one is well again; the more
-/// so the better the first of it looks.
+/// Returns the weight of probe traffic, which detects the recovery of an
+/// ejected backend server. It grows when the first probes succeed.
 double ejected_weight(const ejection_request& c)
 {
     if (c.path_bad || c.forced)
@@ -42,37 +43,39 @@
 } // namespace
 
 std::vector<ejection_decision>
-decide_ejections(const std::vector<ejection_request>& claims, double floor)
+decide_ejections(const std::vector<ejection_request>& requests, double floor)
 {
-    std::vector<ejection_decision> applied;
+    std::vector<ejection_decision> decisions;
     std::vector<std::size_t> order;
-    double left = 0;
-    for (std::size_t n = 0; n < claims.size(); ++n) {
-        const auto& c = claims[n];
-        applied.push_back({c.id, c.alive ? weight_of(c) : 0, false, false});
-        left += c.alive ? c.slots : 0;
-        if (asks(c))
+    double remaining = 0;
+    for (std::size_t n = 0; n < requests.size(); ++n) {
+        const auto& c = requests[n];
+        decisions.push_back({c.id, c.alive ? weight_of(c) : 0, false, false});
+        remaining += c.alive ? c.slots : 0;
+        if (wants_ejection(c))
             order.push_back(n);
     }
     std::sort(order.begin(), order.end(), [&](auto a, auto b) {
-        const auto& x = claims[a];
-        const auto& y = claims[b];
+        const auto& x = requests[a];
+        const auto& y = requests[b];
         if (x.forced != y.forced)
             return x.forced;
-        return rank_of(x) != rank_of(y) ? rank_of(x) > rank_of(y) : x.id < y.id;
+        return severity_rank(x) != severity_rank(y)
+                   ? severity_rank(x) > severity_rank(y)
+                   : x.id < y.id;
     });
     for (const auto n : order) {
-        const auto& c = claims[n];
-        if (c.forced || left - c.slots >= floor) {
-            applied[n].ejected = true;
-            applied[n].weight = ejected_weight(c);
-            left -= c.slots;
+        const auto& c = requests[n];
+        if (c.forced || remaining - c.slots >= floor) {
+            decisions[n].ejected = true;
+            decisions[n].weight = ejected_weight(c);
+            remaining -= c.slots;
         } else {
-            applied[n].held = true;
-            applied[n].weight = held_weight;
+            decisions[n].held = true;
+            decisions[n].weight = held_weight;
         }
     }
-    return applied;
+    return decisions;
 }
 
 } // namespace jasminetray
--- a/src/verdict/path_func.cpp
+++ b/src/verdict/path_func.cpp
@@ -1,4 +1,4 @@
-// Path evidence; see path_type.hpp.
+// Path health; see path_type.hpp.
 #include "verdict/path_type.hpp"
 
 #include <algorithm>
@@ -10,24 +10,25 @@
 
 namespace {
 
-path_transition weigh_self(path_table& t, const path_policy& p,
-                           path_transition step)
+path_transition update_local_fault(path_table& t, const path_policy& p,
+                                   path_transition step)
 {
-    std::size_t bad = 0;
+    std::size_t avoided = 0;
     for (const auto& [id, h] : t.paths)
-        bad += h.avoided ? 1 : 0;
-    const bool doubt =
+        avoided += h.avoided ? 1 : 0;
+    const bool fault =
         t.paths.size() >= p.local_fault_min_paths &&
-        static_cast<double>(bad) >
+        static_cast<double>(avoided) >
             p.local_fault_share * static_cast<double>(t.paths.size());
-    if (doubt == t.local_fault)
+    if (fault == t.local_fault)
         return step;
-    t.local_fault = doubt;
-    return doubt ? path_transition::local_fault_began
+    t.local_fault = fault;
+    return fault ? path_transition::local_fault_began
                  : path_transition::local_fault_ended;
 }
 
-path_transition seen_avoided(path_health& h, const path_policy& p, bool lost)
+path_transition record_probe_result(path_health& h, const path_policy& p,
+                                    bool lost)
 {
     h.successful_probes = lost ? 0 : h.successful_probes + 1;
     if (h.successful_probes < p.probes_to_restore)
@@ -43,8 +44,9 @@
 {
     auto& h = t.paths[exit];
     if (h.avoided) {
-        const auto step = seen_avoided(h, p, lost);
-        return step == path_transition::none ? step : weigh_self(t, p, step);
+        const auto step = record_probe_result(h, p, lost);
+        return step == path_transition::none ? step
+                                             : update_local_fault(t, p, step);
     }
     const double ratio =
         lost ? std::log(p.degraded_loss / p.baseline_loss)
@@ -55,7 +57,7 @@
     h.avoided = true;
     h.avoided_at = now;
     h.probe_at = now + p.probe_every;
-    return weigh_self(t, p, path_transition::avoid);
+    return update_local_fault(t, p, path_transition::avoid);
 }
 
 std::vector<node_id> path_due_probes(path_table& t, const path_policy& p,
--- a/src/verdict/verdict_cmd.cpp
+++ b/src/verdict/verdict_cmd.cpp
@@ -1,4 +1,4 @@
-// Commands that move evidence; see verdict_cmd.hpp.
+// Updates of health state; see outlier_cmd.hpp.
 #include "verdict/verdict_cmd.hpp"
 
 #include "verdict/verdict_math.hpp"
@@ -11,19 +11,16 @@
 
 namespace {
 
-constexpr double base_weight =
-    1.0 / 5000; // of one outcome in long_term_failure_rate
-constexpr double time_weight = 1.0 / 2000; // of one outcome in durations
-/// More evidence than this says nothing more. Without a bound six seconds of
-/// shared trouble left so much that 150 s of health did not undo it, and the
-/// next shared trouble was weighed over all that time, in which backend
-/// servers had had unlike shares of the work: several were ejected.
+constexpr double rate_weight = 1.0 / 5000; // of an outcome
+constexpr double time_weight = 1.0 / 2000; // of an outcome
+/// Bounds the evidence, so that it decays soon after a failure that all peers
+/// shared. Otherwise the next one is compared over far too long a time.
 constexpr double max_evidence = 50;
-constexpr double first_outcomes = 30; // before durations are judged
-constexpr double climb_low = 0.6;     // of the threshold: the climb is over
-constexpr std::uint32_t max_burst_flaps = 2;    // more is sickness
-constexpr span_us flap_memory = 45 * us_per_s;  // since the last return
-constexpr span_us max_burst = 3 * us_per_s / 2; // longer is sickness
+constexpr double min_learned_outcomes = 30;     // for durations
+constexpr double excursion_end_share = 0.6;     // of the threshold
+constexpr std::uint32_t max_burst_flaps = 2;    // more are no bursts
+constexpr span_us flap_ttl = 45 * us_per_s;     // since the last change
+constexpr span_us max_burst = 3 * us_per_s / 2; // longer is no burst
 constexpr std::uint32_t max_flaps = 6;
 
 void clear(evidence& e, mono_us now)
@@ -41,16 +38,16 @@
     h.top_value = 0;
 }
 
-/// One outcome with what is needed to weigh it.
-struct weighed
+/// Outcome with the inputs of the likelihood ratios.
+struct weighted_outcome
 {
     bool failed;
-    double above;    ///< ln(took) minus usual
-    double variance; ///< usual one
+    double above;    ///< ln(took) minus the baseline mean
+    double variance; ///< of the baseline
     mono_us now;
 };
 
-void add(bank_score& s, double ratio, const weighed& o)
+void add(bank_score& s, double ratio, const weighted_outcome& o)
 {
     s.value = std::min(max_evidence, s.value + ratio);
     s.last_increase_at = ratio > 0 ? o.now : s.last_increase_at;
@@ -64,8 +61,8 @@
 
 using bank_ratios = std::array<double, alternatives>;
 
-/// Evidence of one outcome for each member of the bank.
-bank_ratios ratios_of(const service_baseline& u, const weighed& o)
+/// Returns the evidence of one outcome for each alternative.
+bank_ratios ratios_of(const service_baseline& u, const weighted_outcome& o)
 {
     bank_ratios ratios{};
     for (std::size_t n = 0; n < fail_alternatives; ++n) {
@@ -79,13 +76,14 @@
     return ratios;
 }
 
-void add_outcome(evidence& e, const bank_ratios& ratios, const weighed& o)
+void add_outcome(evidence& e, const bank_ratios& ratios,
+                 const weighted_outcome& o)
 {
     if (!o.failed && o.above < bank_shifts[0] / 2) {
         e.success_times[e.success_next] = o.now;
         e.success_next = (e.success_next + 1) % recent_successes;
     }
-    // A failure tells nothing about durations.
+    // Failures do not count for the slow alternatives.
     const auto members = o.failed ? fail_alternatives : alternatives;
     for (std::size_t n = 0; n < members; ++n)
         add(e.bank[n], ratios[n], o);
@@ -103,9 +101,9 @@
     b.above += failed ? 0 : above;
 }
 
-/// Keeps the stream with the highest score, so that the frequent check need
-/// not look at all of them.
-void follow_top(worker_health& h, std::size_t source)
+/// Updates the stream with the highest score, so that health_check() need not
+/// search all of them.
+void update_top_source(worker_health& h, std::size_t source)
 {
     const double value = strongest(h.by_source[source]).value;
     const bool fell = source == h.top_source && value < h.top_value;
@@ -124,43 +122,43 @@
     }
 }
 
-void learn_time(duration_baseline& t, double log_took)
+void update_duration_baseline(duration_baseline& t, double log_took)
 {
     t.seen += 1;
     const double weight = std::max(1 / t.seen, time_weight);
     const double off = log_took - t.log_mean;
     t.log_mean += weight * off;
     t.median = static_cast<span_us>(std::exp(t.log_mean));
-    // The first outcomes say little about the spread: start from a wide one.
+    // Ten virtual samples keep the initial variance wide.
     const double spread = std::max(1 / (t.seen + 10), time_weight);
     t.log_var += spread * (off * off - t.log_var);
 }
 
-/// The long memory moves only while the backend server looks well; else a
-/// slow decline would become its own excuse.
-void learn_usual(worker_health& h, const outlier_policy& p,
-                 const observation& o)
+/// Updates the baseline while the backend server is healthy. Otherwise a slow
+/// decline would become the baseline.
+void update_baseline(worker_health& h, const outlier_policy& p,
+                     const observation& o)
 {
     const bool failed = o.kind == outcome_kind::failed;
     double score = 0;
     for (const auto& s : h.total.bank)
         score = std::max(score, s.value);
-    auto& t = h.usual.times[o.route_class % max_route_classes];
-    const bool well =
+    auto& t = h.baseline.times[o.route_class % max_route_classes];
+    const bool healthy =
         h.state == ejection_state::trusted && score < p.threshold / 3;
-    if (well)
+    if (healthy)
         h.long_term_failure_rate +=
-            base_weight * ((failed ? 1 : 0) - h.long_term_failure_rate);
-    if (!failed && (well || t.seen < first_outcomes))
-        learn_time(t,
-                   std::log(static_cast<double>(std::max<span_us>(1, o.took))));
-    h.usual.fail_rate =
+            rate_weight * ((failed ? 1 : 0) - h.long_term_failure_rate);
+    if (!failed && (healthy || t.seen < min_learned_outcomes))
+        update_duration_baseline(
+            t, std::log(static_cast<double>(std::max<span_us>(1, o.took))));
+    h.baseline.fail_rate =
         std::clamp(h.long_term_failure_rate, min_rate, max_rate);
 }
 
-/// A burst of failures that ended by itself. A backend server that flaps is
-/// not excused by it.
-void remember_burst(worker_health& h, span_us span, mono_us now)
+/// Records a burst of failures that ended by itself, unless the backend server
+/// flaps.
+void record_recovered_burst(worker_health& h, span_us span, mono_us now)
 {
     if (h.flaps > max_burst_flaps || span > max_burst)
         return;
@@ -168,23 +166,25 @@
     h.burst_seen_at = now;
 }
 
-/// Follows a climb of the evidence. Only one that reached the threshold
-/// teaches: lower ones happen by chance, and would make everyone wait.
-void follow_climb(worker_health& h, const outlier_policy& p, mono_us now)
+/// Ends an excursion when the evidence is low again. Only one that reached the
+/// threshold counts as a burst; lower ones occur by chance.
+void update_excursion(worker_health& h, const outlier_policy& p, mono_us now)
 {
-    if (strongest(h.total).value > climb_low * p.threshold)
+    if (strongest(h.total).value > excursion_end_share * p.threshold)
         return;
-    if (h.climb.reached_at != 0)
-        remember_burst(h, h.last_fail_at - h.climb.reached_at, now);
-    h.climb = excursion{};
+    if (h.excursion_in_progress.reached_at != 0)
+        record_recovered_burst(
+            h, h.last_fail_at - h.excursion_in_progress.reached_at, now);
+    h.excursion_in_progress = excursion{};
 }
 
-void add_return(worker_health& h, const weighed& o)
+void add_restore_evidence(worker_health& h, const weighted_outcome& o)
 {
     const bool failed = o.failed;
-    const double u = h.usual.fail_rate;
+    const double rate = h.baseline.fail_rate;
     double ratio = -fail_ratio(
-        failed, std::max(h.ejected_failure_rate, alternative_rate(1, u)), u);
+        failed, std::max(h.ejected_failure_rate, alternative_rate(1, rate)),
+        rate);
     if (!failed)
         ratio -= slow_ratio(bank_shifts[0], o.above, o.variance);
     h.return_score = std::max(0.0, h.return_score + ratio);
@@ -202,75 +202,76 @@
 
 void health_record_sent(worker_health& h, const outstanding& o)
 {
-    h.open.push_back(o);
+    h.outstanding_work.push_back(o);
 }
 
 void health_record_outcome(worker_health& h, const outlier_policy& p,
                            std::uint64_t key, const observation& o, mono_us now)
 {
     const auto it =
-        std::find_if(h.open.begin(), h.open.end(),
+        std::find_if(h.outstanding_work.begin(), h.outstanding_work.end(),
                      [key](const outstanding& x) { return x.key == key; });
-    if (it != h.open.end()) {
-        *it = h.open.back();
-        h.open.pop_back();
+    if (it != h.outstanding_work.end()) {
+        *it = h.outstanding_work.back();
+        h.outstanding_work.pop_back();
     }
     if (o.kind == outcome_kind::neutral)
         return;
     const bool failed = o.kind == outcome_kind::failed;
-    // Durations count once a few were seen; until then only failures do.
-    const auto& t = h.usual.times[o.route_class % max_route_classes];
-    const bool known = t.seen >= first_outcomes;
-    const double above = log_excess(h.usual, o.route_class, o.took) -
+    // Without a duration baseline only failures count.
+    const auto& t = h.baseline.times[o.route_class % max_route_classes];
+    const bool known = t.seen >= min_learned_outcomes;
+    const double above = log_excess(h.baseline, o.route_class, o.took) -
                          cold_start_allowance(h, now);
-    const weighed x{failed, known ? above : 0,
-                    baseline_variance(h.usual, o.route_class), now};
+    const weighted_outcome x{failed, known ? above : 0,
+                             baseline_variance(h.baseline, o.route_class), now};
     h.last_fail_at = failed ? now : h.last_fail_at;
     add_recent(h, failed, x.above, now);
     if (h.state == ejection_state::ejected &&
         (h.scope == all_sources || h.scope == o.source))
-        add_return(h, x);
-    const auto ratios = ratios_of(h.usual, x);
+        add_restore_evidence(h, x);
+    const auto ratios = ratios_of(h.baseline, x);
     add_outcome(h.total, ratios, x);
     if (o.source >= h.by_source.size())
         h.by_source.resize(o.source + 1);
     add_outcome(h.by_source[o.source], ratios, x);
-    follow_top(h, o.source);
-    const auto patience = health_burst_wait(h, p, now);
-    if (h.climb.reached_at != 0 && now >= h.climb.reached_at + patience)
-        add_outcome(h.later, ratios, x);
-    learn_usual(h, p, o);
+    update_top_source(h, o.source);
+    const auto wait = health_burst_wait(h, p, now);
+    if (h.excursion_in_progress.reached_at != 0 &&
+        now >= h.excursion_in_progress.reached_at + wait)
+        add_outcome(h.post_wait_evidence, ratios, x);
+    update_baseline(h, p, o);
     if (h.state == ejection_state::trusted)
-        follow_climb(h, p, now);
+        update_excursion(h, p, now);
 }
 
 std::uint32_t health_route_class(worker_health& h, std::uint32_t route,
                                  mono_us now)
 {
     auto& all = h.classes;
-    const auto own = std::find_if(all.begin(), all.end(), [&](const auto& x) {
-        return x.seen_at != 0 && x.route == route;
-    });
+    const auto assigned =
+        std::find_if(all.begin(), all.end(), [&](const auto& x) {
+            return x.seen_at != 0 && x.route == route;
+        });
     const auto oldest = std::min_element(
         all.begin(), all.end(),
         [](const auto& a, const auto& b) { return a.seen_at < b.seen_at; });
-    const auto at = own != all.end() ? own : oldest;
-    const auto place = static_cast<std::size_t>(at - all.begin());
-    if (own == all.end())
-        h.usual.times[place] = duration_baseline{};
+    const auto at = assigned != all.end() ? assigned : oldest;
+    const auto index = static_cast<std::size_t>(at - all.begin());
+    if (assigned == all.end())
+        h.baseline.times[index] = duration_baseline{};
     *at = {route, now};
-    return static_cast<std::uint32_t>(place);
+    return static_cast<std::uint32_t>(index);
 }
 
-std::size_t health_mark_overdue(worker_health& h, span_us least, mono_us now)
+std::size_t health_mark_overdue(worker_health& h, span_us min_age, mono_us now)
 {
     std::size_t marked = 0;
-    for (auto& o : h.open) {
-        // Before durations are known the operator's word is the best there is.
-        const auto bound = is_duration_known(h.usual, o.route_class)
-                               ? overdue_age(h.usual, o.route_class)
+    for (auto& o : h.outstanding_work) {
+        const auto bound = is_duration_known(h.baseline, o.route_class)
+                               ? overdue_age(h.baseline, o.route_class)
                                : o.target;
-        if (o.overdue || now - o.started < std::max(least, bound))
+        if (o.overdue || now - o.started < std::max(min_age, bound))
             continue;
         o.overdue = true;
         ++marked;
@@ -281,7 +282,7 @@
 outlier_action health_check(worker_health& h, const outlier_policy& p,
                             mono_us now)
 {
-    if (h.flaps > 0 && now - h.flap_at > flap_memory) {
+    if (h.flaps > 0 && now - h.flap_at > flap_ttl) {
         h.flaps = 0;
         h.flap_at = now;
     }
@@ -295,9 +296,9 @@
         h.peer_query_wait = 0;
         return outlier_action::none;
     }
-    if (h.climb.reached_at == 0) {
-        h.climb = {now, s.since};
-        clear(h.later, now);
+    if (h.excursion_in_progress.reached_at == 0) {
+        h.excursion_in_progress = {now, s.since};
+        clear(h.post_wait_evidence, now);
     }
     if (!health_confirmed(h, p, now))
         return outlier_action::none;
@@ -314,8 +315,8 @@
     const auto s = health_suspicion(h, p, now);
     h.ejection_peak = std::max(s.score, p.threshold);
     const auto& top = stream_of(h, s.scope).bank[s.index];
-    // Judged against half of the failures that were seen: a milder sickness
-    // than the one that was ejected must not pass for health.
+    // Half of the observed failure rate, so that a partial recovery does not
+    // end the ejection.
     if (top.seen > 0)
         h.ejected_failure_rate =
             std::clamp(top.failed / top.seen / 2, 0.2, 0.5);
@@ -325,24 +326,24 @@
     h.return_score = 0;
     h.flaps = std::min(h.flaps + 1, max_flaps);
     h.flap_at = now;
-    const auto out = p.min_ejection << (h.flaps - 1);
-    h.may_return_at = now + std::min(out, p.max_ejection);
+    const auto duration = p.min_ejection << (h.flaps - 1);
+    h.may_return_at = now + std::min(duration, p.max_ejection);
     clear_all(h, now);
 }
 
 void health_restore(worker_health& h, const outlier_policy& p, mono_us now)
 {
-    // Well again as soon as it could be looked at: it was a burst. When no
-    // later failure was seen, it may have gone on for as long as before.
-    const auto went_on = h.last_fail_at > h.ejected_at
-                             ? h.last_fail_at - h.climb.reached_at
-                             : h.ejected_at - h.climb.since;
+    // A fast recovery is a burst. Without a failure after the ejection its
+    // length is estimated by the time before.
+    const auto burst = h.last_fail_at > h.ejected_at
+                           ? h.last_fail_at - h.excursion_in_progress.reached_at
+                           : h.ejected_at - h.excursion_in_progress.since;
     if (p.tolerate_bursts)
-        remember_burst(h, went_on, now);
+        record_recovered_burst(h, burst, now);
     h.state = ejection_state::trusted;
     h.flap_at = now;
     h.scope = all_sources;
-    h.climb = excursion{};
+    h.excursion_in_progress = excursion{};
     clear_all(h, now);
 }
 
--- a/src/verdict/verdict_math.cpp
+++ b/src/verdict/verdict_math.cpp
@@ -1,4 +1,4 @@
-// Log likelihood ratios; see verdict_math.hpp.
+// Log likelihood ratios; see outlier_math.hpp.
 #include "verdict/verdict_math.hpp"
 
 #include <algorithm>
@@ -6,16 +6,17 @@
 
 namespace jasminetray {
 
-double alternative_rate(std::size_t n, double usual)
+double alternative_rate(std::size_t n, double baseline)
 {
-    const double odds = min_odds_ratio * usual / (1 - usual);
-    const double least = odds / (1 + odds);
-    return std::min(0.99, std::max(bank_rates[n], least));
+    const double odds = min_odds_ratio * baseline / (1 - baseline);
+    const double min_rate_of_alternative = odds / (1 + odds);
+    return std::min(0.99, std::max(bank_rates[n], min_rate_of_alternative));
 }
 
-double fail_ratio(bool failed, double rate, double usual)
+double fail_ratio(bool failed, double rate, double baseline)
 {
-    return failed ? std::log(rate / usual) : std::log((1 - rate) / (1 - usual));
+    return failed ? std::log(rate / baseline)
+                  : std::log((1 - rate) / (1 - baseline));
 }
 
 double slow_ratio(double shift, double above, double variance)
@@ -32,7 +33,7 @@
 
 double cold_start_allowance(const worker_health& h, mono_us now)
 {
-    constexpr double cold_shift = 1.6; // five times slower is no sickness yet
+    constexpr double cold_shift = 1.6; // ln(5)
     return now < h.cold_start_until ? cold_shift : 0;
 }
 
@@ -53,8 +54,7 @@
 
 span_us overdue_age(const service_baseline& u, std::uint32_t route_class)
 {
-    // One piece of usual work in forty lasts for longer.
-    constexpr double deviations = 2;
+    constexpr double deviations = 2; // about 2 % of normal work takes longer
     const auto& t = u.times[route_class % max_route_classes];
     const double log_age =
         t.log_mean + u.shift +
@@ -69,8 +69,8 @@
         return 1;
     const double z = log_excess(u, route_class, age) /
                      std::sqrt(baseline_variance(u, route_class));
-    // Real tails are heavier than a lognormal one: a share as large as the
-    // usual failures takes arbitrarily long.
+    // Real tails are heavier than log-normal ones; the baseline failure rate
+    // is the lower bound.
     return std::max(0.5 * std::erfc(z / std::sqrt(2.0)), u.fail_rate);
 }
 
@@ -79,9 +79,10 @@
 {
     if (!is_duration_known(u, route_class))
         return 0;
-    const double usual = baseline_survival(u, route_class, age);
-    const double sick = rate + (1 - rate) * usual;
-    return std::min(std::log(sick / usual), std::log(rate / u.fail_rate));
+    const double healthy = baseline_survival(u, route_class, age);
+    const double unhealthy = rate + (1 - rate) * healthy;
+    return std::min(std::log(unhealthy / healthy),
+                    std::log(rate / u.fail_rate));
 }
 
 } // namespace jasminetray
--- a/src/verdict/verdict_math.hpp
+++ b/src/verdict/verdict_math.hpp
@@ -1,57 +1,56 @@
-// Log likelihood ratios that the commands and the queries share.
+// Log likelihood ratios of outlier detection.
 #pragma once
 
 #include "verdict/verdict_type.hpp"
 
 namespace jasminetray {
 
-constexpr double min_rate = 0.002;     ///< of the usual failure rate
-constexpr double max_rate = 0.9;       ///< of the usual failure rate
-constexpr double min_odds_ratio = 4;   ///< between usual and alternative
-constexpr double slow_clip_high = 2.5; ///< nats that one slow answer adds
-constexpr double slow_clip_low = -3;   ///< nats that one fast answer takes
+constexpr double min_rate = 0.002;     ///< of the baseline failure rate
+constexpr double max_rate = 0.9;       ///< of the baseline failure rate
+constexpr double min_odds_ratio = 4;   ///< of alternative to baseline
+constexpr double slow_clip_high = 2.5; ///< max evidence of one outcome, in nats
+constexpr double slow_clip_low = -3;   ///< min evidence of one outcome, in nats
 constexpr double min_variance = 0.02;  ///< of ln(took)
 
-/// Outcomes after which a class's duration is known well enough for silence to
-/// speak. A process that has just started knows none: judged by what it
-/// assumed, work that takes a second was missing at once, and sound backend
-/// servers were ejected all over a fleet that had been restarted.
+/// Samples before the duration baseline of a route class is used. Without
+/// them a restarted process would take slow but healthy work for overdue.
 inline constexpr double min_duration_samples = 10;
 
-/// Whether silence of work of this class can be told from usual work.
+/// Returns whether the duration baseline of a route class can be used.
 bool is_duration_known(const service_baseline& u, std::uint32_t route_class);
 
-/// Age at which work of a known class is missing: few last so long.
+/// Returns the age from which work counts as overdue.
 span_us overdue_age(const service_baseline& u, std::uint32_t route_class);
 
-/// Failure rate of an alternative, kept apart from the usual rate: a bank
-/// member close to the usual one would drift up on ordinary noise.
-double alternative_rate(std::size_t n, double usual);
+/// Returns the failure rate of an alternative. It keeps a distance from the
+/// baseline, so that noise does not accumulate.
+double alternative_rate(std::size_t n, double baseline);
 
-/// Evidence of one outcome for an alternative failure rate.
-double fail_ratio(bool failed, double rate, double usual);
+/// Returns the evidence of one outcome for an alternative failure rate.
+double fail_ratio(bool failed, double rate, double baseline);
 
-/// Evidence of one duration for a slowness.
-/// @param shift ln(factor)
-/// @param above ln(took) minus the usual mean
-/// @param variance usual one, of ln(took)
+/// Returns the evidence of one duration for an alternative slowdown.
+/// @param shift ln(factor) of the slowdown
+/// @param above ln(took) minus the baseline mean
+/// @param variance of ln(took) in the baseline
 double slow_ratio(double shift, double above, double variance);
 
-/// ln(took) minus what is usual for the class now.
+/// Returns ln(took) minus the baseline mean of the route class.
 double log_excess(const service_baseline& u, std::uint32_t route_class,
                   span_us took);
 
-/// ln(factor) that a cold start may be slower by.
+/// Returns the tolerated ln(factor) of slowness after a cold start.
 double cold_start_allowance(const worker_health& h, mono_us now);
 
-/// Variance that ratios use; never so small that one answer decides.
+/// Returns the variance for ratios; bounded below, so that one outcome does
+/// not decide.
 double baseline_variance(const service_baseline& u, std::uint32_t route_class);
 
-/// Share of usual work that takes longer than a time.
+/// Returns the share of normal work that takes longer than `age`.
 double baseline_survival(const service_baseline& u, std::uint32_t route_class,
                          span_us age);
 
-/// Evidence of work that has not ended after a time, for a failure rate.
+/// Returns the evidence of outstanding work for an alternative failure rate.
 double outstanding_ratio(const service_baseline& u, double rate,
                          std::uint32_t route_class, span_us age);
 
--- a/src/verdict/verdict_query.cpp
+++ b/src/verdict/verdict_query.cpp
@@ -1,4 +1,4 @@
-// Questions about evidence; see verdict_query.hpp.
+// Queries on health state; see outlier_query.hpp.
 #include "verdict/verdict_query.hpp"
 
 #include "verdict/verdict_math.hpp"
@@ -10,45 +10,45 @@
 
 namespace {
 
-constexpr double flap_discount = 1;  // nats per ejection after the first
-constexpr double min_share = 0.75;   // of the threshold, after flaps
-constexpr double later_share = 0.5;  // of the threshold; two quick failures
-constexpr double rare_share = 0.05;  // of usual work lasts this long
-constexpr double burst_margin = 1.3; // over the longest healed burst
-constexpr span_us max_patience = 3 * us_per_s / 2;
-constexpr double max_against = 2; // nats against the streams that are well
-constexpr double min_well = 3;    // nats that these streams are well
-constexpr double well_nats_slow = 0.75; // of one answer in usual time
-constexpr span_us burst_memory = 3600 * us_per_s;
-
-/// Member of a bank that speaks loudest.
-struct loudest_member
+constexpr double flap_discount = 1;     // nats per repeated ejection
+constexpr double min_share = 0.75;      // of the threshold, after flaps
+constexpr double post_wait_share = 0.5; // of the threshold
+constexpr double rare_share = 0.05;     // of normal work takes longer
+constexpr double burst_margin = 1.3;    // factor on the longest burst
+constexpr span_us max_burst_wait = 3 * us_per_s / 2;
+constexpr double max_other_evidence = 2;   // nats
+constexpr double min_healthy_evidence = 3; // nats
+constexpr double healthy_nats_slow = 0.75; // per answer in normal time
+constexpr span_us burst_ttl = 3600 * us_per_s;
+
+/// Alternative with the highest score.
+struct top_alternative
 {
     std::size_t index = 0; ///< in the bank
     double score = 0;
 };
 
-/// Member of the bank of one stream that speaks loudest, with what
-/// outstanding work already says counted in.
-loudest_member stream_loudest(const worker_health& h, const evidence& e,
-                              const outlier_policy& p, std::uint32_t source,
-                              mono_us now)
+/// Returns the alternative with the highest score for a stream, outstanding
+/// work included.
+top_alternative find_top_alternative(const worker_health& h, const evidence& e,
+                                     const outlier_policy& p,
+                                     std::uint32_t source, mono_us now)
 {
-    loudest_member best{0, 0};
-    auto usual = h.usual;
-    usual.shift += cold_start_allowance(h, now);
+    top_alternative best{0, 0};
+    auto baseline = h.baseline;
+    baseline.shift += cold_start_allowance(h, now);
     for (std::size_t n = 0; n < alternatives; ++n) {
         double score = e.bank[n].value;
         const bool fails = n < fail_alternatives;
-        for (const auto& o : h.open) {
+        for (const auto& o : h.outstanding_work) {
             if (!p.count_outstanding || !fails)
                 break;
             if (now - o.started <
-                usual.times[o.route_class % max_route_classes].median)
-                continue; // nothing unusual yet
-            const double rate = alternative_rate(n, usual.fail_rate);
+                baseline.times[o.route_class % max_route_classes].median)
+                continue;
+            const double rate = alternative_rate(n, baseline.fail_rate);
             if (source == all_sources || o.source == source)
-                score += outstanding_ratio(usual, rate, o.route_class,
+                score += outstanding_ratio(baseline, rate, o.route_class,
                                            now - o.started);
         }
         if (score > best.score)
@@ -57,52 +57,54 @@
     return best;
 }
 
-/// Whether the first of its trickle went well.
+/// Returns whether the first probes during an ejection succeeded.
 bool is_recovering(const worker_health& h, const outlier_policy& p, mono_us now)
 {
-    constexpr double share = 0.4; // of the evidence that a return needs
+    constexpr double share = 0.4; // of the evidence for a restore
     return now >= h.may_return_at &&
            h.return_score >= share * (p.return_evidence + h.flaps);
 }
 
-/// What one stream says, as a suspicion.
+/// Returns the suspicion from the evidence of one stream.
 suspicion make_suspicion(const worker_health& h, const outlier_policy& p,
                          std::uint32_t scope, mono_us now)
 {
     const auto& stream = stream_of(h, scope);
-    const auto top = stream_loudest(h, stream, p, scope, now);
+    const auto top = find_top_alternative(h, stream, p, scope, now);
     const auto& member = stream.bank[top.index];
     mono_us since = member.value > 0 ? member.since : now;
-    for (const auto& o : h.open) {
-        if (is_duration_known(h.usual, o.route_class) &&
-            baseline_survival(h.usual, o.route_class, now - o.started) <
+    for (const auto& o : h.outstanding_work) {
+        if (is_duration_known(h.baseline, o.route_class) &&
+            baseline_survival(h.baseline, o.route_class, now - o.started) <
                 rare_share)
             since = std::min(since, o.started);
     }
     return {scope, top.index, top.score, health_threshold(h, p), since};
 }
 
-/// Whether all other streams are served well since the suspicion began. They
-/// must have been heard: silence is not health.
-bool others_well(const worker_health& h, const suspicion& worst)
+/// Returns whether all other streams had enough successes since the suspicion
+/// began. Streams without outcomes do not count as healthy.
+bool other_sources_healthy(const worker_health& h, const suspicion& worst)
 {
-    const auto& sick = h.by_source[worst.scope].bank[worst.index];
+    const auto& unhealthy = h.by_source[worst.scope].bank[worst.index];
     double evidence_against = 0;
-    double well = 0;
+    double successes = 0;
     for (std::uint32_t n = 0; n < h.by_source.size(); ++n) {
         if (n == worst.scope)
             continue;
         const auto& e = h.by_source[n];
         evidence_against += strongest(e).value;
         for (const auto at : e.success_times)
-            well += at >= worst.since ? 1 : 0;
+            successes += at >= worst.since ? 1 : 0;
     }
-    const double rate =
-        sick.seen > 0 ? std::min(0.95, sick.failed / sick.seen) : 0.95;
+    const double rate = unhealthy.seen > 0
+                            ? std::min(0.95, unhealthy.failed / unhealthy.seen)
+                            : 0.95;
     const double each = worst.index < fail_alternatives
-                            ? -fail_ratio(false, rate, h.usual.fail_rate)
-                            : well_nats_slow;
-    return evidence_against < max_against && well * each >= min_well;
+                            ? -fail_ratio(false, rate, h.baseline.fail_rate)
+                            : healthy_nats_slow;
+    return evidence_against < max_other_evidence &&
+           successes * each >= min_healthy_evidence;
 }
 
 } // namespace
@@ -117,23 +119,23 @@
 double health_score(const worker_health& h, const outlier_policy& p,
                     mono_us now)
 {
-    return stream_loudest(h, h.total, p, all_sources, now).score;
+    return find_top_alternative(h, h.total, p, all_sources, now).score;
 }
 
 double health_threshold(const worker_health& h, const outlier_policy& p)
 {
-    const double again = h.flaps > 1 ? h.flaps - 1 : 0;
-    const double flapped = p.threshold - flap_discount * again;
-    return std::max(flapped, min_share * p.threshold);
+    const double repeated = h.flaps > 1 ? h.flaps - 1 : 0;
+    const double lowered = p.threshold - flap_discount * repeated;
+    return std::max(lowered, min_share * p.threshold);
 }
 
 span_us health_burst_wait(const worker_health& h, const outlier_policy& p,
                           mono_us now)
 {
-    if (!p.tolerate_bursts || now - h.burst_seen_at > burst_memory)
+    if (!p.tolerate_bursts || now - h.burst_seen_at > burst_ttl)
         return 0;
     return std::min(
-        max_patience,
+        max_burst_wait,
         static_cast<span_us>(burst_margin * static_cast<double>(h.burst_span)));
 }
 
@@ -156,11 +158,12 @@
         if (s.score > worst.score)
             worst = s;
     }
-    // More streams are more chances of a false alarm.
+    // Correction for testing several streams.
     worst.threshold += std::log(static_cast<double>(h.by_source.size()));
-    const bool speaks =
+    const bool exceeded =
         whole.score >= whole.threshold || worst.score >= worst.threshold;
-    if (!speaks || worst.scope == all_sources || !others_well(h, worst))
+    if (!exceeded || worst.scope == all_sources ||
+        !other_sources_healthy(h, worst))
         return whole;
     if (whole.score >= whole.threshold)
         worst.threshold = std::min(worst.threshold, worst.score);
@@ -170,13 +173,15 @@
 bool health_confirmed(const worker_health& h, const outlier_policy& p,
                       mono_us now)
 {
-    const auto patience = health_burst_wait(h, p, now);
-    if (patience == 0)
+    const auto wait = health_burst_wait(h, p, now);
+    if (wait == 0)
         return true;
-    if (h.climb.reached_at == 0 || now < h.climb.reached_at + patience)
+    if (h.excursion_in_progress.reached_at == 0 ||
+        now < h.excursion_in_progress.reached_at + wait)
         return false;
-    const auto later = stream_loudest(h, h.later, p, all_sources, now);
-    return later.score >= later_share * health_threshold(h, p);
+    const auto later =
+        find_top_alternative(h, h.post_wait_evidence, p, all_sources, now);
+    return later.score >= post_wait_share * health_threshold(h, p);
 }
 
 peer_report health_report(const worker_health& h, const outlier_policy& p,
@@ -199,18 +204,19 @@
 int health_severity(const worker_health& h, const outlier_policy& p,
                     mono_us now)
 {
-    constexpr double at_threshold = 100;
+    constexpr double severity_at_threshold = 100;
     constexpr int min_ejected = 110;
-    constexpr int most = 250; // above it speak operators
+    constexpr int max_severity = 250; // higher ones are set by operators
     if (h.state == ejection_state::ejected) {
         if (is_recovering(h, p, now))
-            return static_cast<int>(at_threshold);
-        return std::clamp(
-            static_cast<int>(at_threshold * h.ejection_peak / p.threshold),
-            min_ejected, most);
+            return static_cast<int>(severity_at_threshold);
+        return std::clamp(static_cast<int>(severity_at_threshold *
+                                           h.ejection_peak / p.threshold),
+                          min_ejected, max_severity);
     }
     const double share = health_score(h, p, now) / health_threshold(h, p);
-    return static_cast<int>(std::min(at_threshold - 1, at_threshold * share));
+    return static_cast<int>(
+        std::min(severity_at_threshold - 1, severity_at_threshold * share));
 }
 
 } // namespace jasminetray
--- a/test/fuzz_verdict.cpp
+++ b/test/fuzz_verdict.cpp
@@ -1,7 +1,7 @@
-// Stateful fuzzing of verdicts and floor. The oracle knows who is sick:
-// the floor is never broken, the sick are found when the floor allows, the
-// healthy come back, shared trouble ejects nobody, and the same inputs give
-// the same decisions.
+// Stateful fuzzing of outlier detection and the capacity floor. Checks against
+// a simulation: the floor holds, unhealthy backend servers are ejected, healthy
+// ones are restored, shared failures eject at most one, and decisions are
+// deterministic.
 #include "fuzz_frame.hpp"
 #include "verdict/floor_type.hpp"
 #include "verdict/verdict_cmd.hpp"
@@ -18,42 +18,42 @@
 
 constexpr std::size_t workers = 6;
 constexpr double floor_share = 0.6;
-constexpr std::size_t max_out = 2; // (1 - floor_share) * workers, whole
-constexpr double rate = 40;        // requests a second at each
-constexpr double sick_fail = 0.6;
-constexpr double well_fail = 0.002;
-constexpr double dip_fail = 0.4;
+constexpr std::size_t max_ejected = 2; // floor of (1 - floor_share) * workers
+constexpr double rate = 40;            // requests per second and backend server
+constexpr double unhealthy_fail_rate = 0.6;
+constexpr double healthy_fail_rate = 0.002;
+constexpr double shared_fail_rate = 0.4;
 
-/// A service's backend servers and what is really wrong with them.
-struct verdict_world
+/// Simulated service with the actual state of its backend servers.
+struct simulation
 {
     std::vector<jt::worker_health> health{workers};
-    std::vector<jt::ejection_decision> applied;
-    std::vector<bool> sick = std::vector<bool>(workers);
+    std::vector<jt::ejection_decision> decisions;
+    std::vector<bool> unhealthy = std::vector<bool>(workers);
     std::vector<std::size_t> ejections = std::vector<std::size_t>(workers);
     jt::outlier_policy policy;
     jt::random_state rng{1};
     jt::mono_us now = jt::us_per_s;
-    bool dip = false;
+    bool shared_failure = false;
     std::uint64_t key = 0;
     std::size_t commands = 0;
 };
 
-void apply(verdict_world& w)
+void apply(simulation& w)
 {
-    std::vector<jt::ejection_request> claims;
+    std::vector<jt::ejection_request> requests;
     for (std::size_t n = 0; n < workers; ++n) {
         jt::ejection_request c;
         c.id = static_cast<jt::worker_id>(n);
         c.slots = 1;
         c.severity = jt::health_severity(w.health[n], w.policy, w.now);
-        claims.push_back(c);
+        requests.push_back(c);
     }
     const double floor = FLAGS_off == "floor" ? 0 : floor_share * workers;
-    w.applied = jt::decide_ejections(claims, floor);
+    w.decisions = jt::decide_ejections(requests, floor);
 }
 
-void check(verdict_world& w, std::size_t n)
+void check(simulation& w, std::size_t n)
 {
     auto& h = w.health[n];
     auto step = jt::health_check(h, w.policy, w.now);
@@ -76,17 +76,19 @@
     apply(w);
 }
 
-/// One request that was routed by the weights in force.
-void one_request(verdict_world& w)
+/// Routes one request by the current weights.
+void route_request(simulation& w)
 {
     double sum = 0;
-    for (const auto& a : w.applied)
+    for (const auto& a : w.decisions)
         sum += a.weight;
     double at = jt::random_unit(w.rng) * sum;
     std::size_t n = 0;
-    while (n + 1 < workers && (at -= w.applied[n].weight) >= 0)
+    while (n + 1 < workers && (at -= w.decisions[n].weight) >= 0)
         ++n;
-    const double fail = w.sick[n] ? sick_fail : w.dip ? dip_fail : well_fail;
+    const double fail = w.unhealthy[n]     ? unhealthy_fail_rate
+                        : w.shared_failure ? shared_fail_rate
+                                           : healthy_fail_rate;
     const bool failed = jt::random_unit(w.rng) < fail;
     const auto took = static_cast<jt::span_us>(
         20000 * std::exp(0.3 * jt::random_normal(w.rng)));
@@ -100,72 +102,74 @@
     check(w, n);
 }
 
-void run_for(verdict_world& w, double seconds)
+void run_for(simulation& w, double seconds)
 {
     const auto until = w.now + static_cast<jt::mono_us>(seconds * jt::us_per_s);
     while (w.now < until) {
         w.now += static_cast<jt::mono_us>(jt::us_per_s / (rate * workers));
-        one_request(w);
+        route_request(w);
     }
 }
 
-std::size_t out(const verdict_world& w)
+std::size_t ejected_count(const simulation& w)
 {
     std::size_t n = 0;
-    for (const auto& a : w.applied)
+    for (const auto& a : w.decisions)
         n += a.ejected ? 1 : 0;
     return n;
 }
 
-/// Everyone well for long: all must be trusted in the end.
-std::string settle(verdict_world& w)
+/// Runs without failures until all backend servers must be restored.
+std::string settle(simulation& w)
 {
-    w.dip = false;
-    w.sick.assign(workers, false);
+    w.shared_failure = false;
+    w.unhealthy.assign(workers, false);
     run_for(w, 150);
     for (const auto& h : w.health) {
         if (h.state != jt::ejection_state::trusted)
-            return "a healthy one did not come back";
+            return "a healthy backend server was not restored";
     }
     return "";
 }
 
-/// One sick, the others well, for long enough.
-std::string prove_found(verdict_world& w, std::size_t n)
+/// Checks that a single unhealthy backend server is ejected.
+std::string check_ejection(simulation& w, std::size_t n)
 {
     auto what = settle(w);
     if (!what.empty())
         return what;
-    w.sick[n] = true;
+    w.unhealthy[n] = true;
     const auto before = w.ejections[n];
     run_for(w, 12);
-    return w.ejections[n] > before ? "" : "a sick one was not found";
+    return w.ejections[n] > before
+               ? ""
+               : "an unhealthy backend server was not ejected";
 }
 
-/// All fail alike: nobody is sick.
-std::string prove_shared(verdict_world& w)
+/// Checks that failures of all backend servers eject at most one.
+std::string check_shared_failure(simulation& w)
 {
     auto what = settle(w);
     if (!what.empty())
         return what;
-    w.dip = true;
+    w.shared_failure = true;
     const auto before = w.ejections;
     run_for(w, 6);
-    w.dip = false;
+    w.shared_failure = false;
     std::size_t ejected = 0;
     for (std::size_t n = 0; n < workers; ++n)
         ejected += w.ejections[n] - before[n];
-    return ejected <= 1 ? "" : "shared trouble ejected several";
+    return ejected <= 1 ? "" : "a shared failure ejected several";
 }
 
-std::string act(verdict_world& w, int kind, std::size_t n)
+std::string act(simulation& w, int kind, std::size_t n)
 {
     switch (kind) {
     case 0:
-        w.sick[n] = !w.sick[n];
+        w.unhealthy[n] = !w.unhealthy[n];
         break;
     case 1:
-        w.dip = !w.dip;
+        w.shared_failure = !w.shared_failure;
         break;
     case 2:
         run_for(w, 0.3 * static_cast<double>(n + 1));
@@ -173,28 +177,28 @@
     case 3:
         return settle(w);
     case 4:
-        return prove_found(w, n);
+        return check_ejection(w, n);
     default:
-        return prove_shared(w);
+        return check_shared_failure(w);
     }
     return "";
 }
 
-struct verdict_model
+struct outlier_model
 {
 };
 
 jt::fuzz_result result;
 std::chrono::steady_clock::time_point began;
 
-/// The world twice: the same inputs must give the same decisions.
-struct verdict_pair
+/// Two simulations with the same inputs; they must decide alike.
+struct simulation_pair
 {
-    verdict_world one;
-    verdict_world two;
+    simulation one;
+    simulation two;
 };
 
-bool same(const verdict_world& a, const verdict_world& b)
+bool same(const simulation& a, const simulation& b)
 {
     for (std::size_t n = 0; n < workers; ++n) {
         if (a.health[n].state != b.health[n].state ||
@@ -204,18 +208,18 @@
     return true;
 }
 
-struct verdict_command : rc::state::Command<verdict_model, verdict_pair>
+struct outlier_command : rc::state::Command<outlier_model, simulation_pair>
 {
     int kind = *rc::gen::weightedElement<int>(
         {{6, 0}, {2, 1}, {10, 2}, {1, 3}, {1, 4}, {1, 5}});
     std::size_t n = *rc::gen::inRange<std::size_t>(0, workers);
 
-    void run(const verdict_model&, verdict_pair& s) const override
+    void run(const outlier_model&, simulation_pair& s) const override
     {
         ++s.one.commands;
         auto what = act(s.one, kind, n);
         act(s.two, kind, n);
-        if (out(s.one) > max_out)
+        if (ejected_count(s.one) > max_ejected)
             what = "below the floor";
         if (!same(s.one, s.two))
             what = "two runs differ";
@@ -230,9 +234,9 @@
     }
 };
 
-verdict_world make_world()
+simulation make_simulation()
 {
-    verdict_world w;
+    simulation w;
     w.policy.threshold = jt::evidence_threshold(0.01, rate);
     w.policy.ask_peers = FLAGS_off != "peers";
     w.policy.return_evidence = FLAGS_off == "return" ? 1e9 : 4.6;
@@ -247,10 +251,10 @@
 {
     jt::start_fuzz(argc, argv);
     began = std::chrono::steady_clock::now();
-    const bool passed = rc::check("verdicts keep their promises", [] {
-        verdict_pair s{make_world(), make_world()};
-        rc::state::check(verdict_model{}, s,
-                         rc::state::gen::execOneOfWithArgs<verdict_command>());
+    const bool passed = rc::check("outlier detection", [] {
+        simulation_pair s{make_simulation(), make_simulation()};
+        rc::state::check(outlier_model{}, s,
+                         rc::state::gen::execOneOfWithArgs<outlier_command>());
     });
     return jt::end_fuzz("fuzz_verdict", passed, result);
 }
--- a/test/test_doubt.cpp
+++ b/test/test_doubt.cpp
@@ -1,5 +1,4 @@
-// Doubt, placing by expected loss, and the gate's queue, under the loads that
-// they answer.
+// Failure estimates, placement by expected loss, and the gate's queue.
 #include "balance/place_type.hpp"
 #include "gate/gate_cmd.hpp"
 #include "gate/gate_query.hpp"
@@ -12,9 +11,9 @@
 
 constexpr auto backend = static_cast<worker_id>(1);
 constexpr mono_us start = 100 * us_per_s;
-constexpr span_us took = us_per_s / 2; // by most work
+constexpr span_us took = us_per_s / 2;
 
-failure_estimate_policy on()
+failure_estimate_policy enabled_policy()
 {
     failure_estimate_policy p;
     p.on = true;
@@ -24,14 +23,14 @@
 gate make_gate(int slots)
 {
     gate g;
-    g.limits.doubt = on();
+    g.limits.doubt = enabled_policy();
     gate_set_worker(g, backend, slots, 0);
     g.workers[backend].mean_duration = us_per_s / 2;
     g.workers[backend].doubt.at = start;
     return g;
 }
 
-/// Work that came at a moment, with a target.
+/// Makes a request with an arrival time and a target.
 gate_request work(std::uint64_t seq, mono_us at, span_us target,
                   bool idempotent = true)
 {
@@ -53,50 +52,48 @@
     return gate_admit(command_mode::apply, g, r, now, last);
 }
 
-TEST(doubt, one_failure_makes_a_suspect_and_a_success_clears_it)
+TEST(failure_estimate, suspect_after_one_failure_and_cleared_by_successes)
 {
     failure_estimate d;
     d.at = start;
-    estimate_add_outcome(d, on(), true, took, start);
+    estimate_add_outcome(d, enabled_policy(), true, took, start);
     EXPECT_TRUE(d.suspect);
-    estimate_add_outcome(d, on(), false, took, start);
-    estimate_add_outcome(d, on(), false, took, start);
+    estimate_add_outcome(d, enabled_policy(), false, took, start);
+    estimate_add_outcome(d, enabled_policy(), false, took, start);
     EXPECT_FALSE(d.suspect);
-    // Just proven: failures happen to the well, one in fifty.
-    estimate_add_outcome(d, on(), false, took, start);
-    estimate_add_outcome(d, on(), true, took, start);
+    // Directly after a success one failure is tolerated.
+    estimate_add_outcome(d, enabled_policy(), false, took, start);
+    estimate_add_outcome(d, enabled_policy(), true, took, start);
     EXPECT_FALSE(d.suspect);
-    estimate_add_outcome(d, on(), true, took, start);
+    estimate_add_outcome(d, enabled_policy(), true, took, start);
     EXPECT_TRUE(d.suspect);
 }
 
-TEST(doubt, it_fades_to_what_is_usual)
+TEST(failure_estimate, decays_to_the_stationary_share)
 {
     failure_estimate d;
     d.at = start;
-    estimate_add_outcome(d, on(), true, took, start);
-    const auto p = on();
+    estimate_add_outcome(d, enabled_policy(), true, took, start);
+    const auto p = enabled_policy();
     EXPECT_GT(estimate_failure_probability(d, p, start), 0.7);
     EXPECT_NEAR(estimate_failure_probability(d, p, start + 60 * us_per_s),
                 p.unhealthy_share, 0.01);
 }
 
-TEST(doubt, one_silent_piece_of_work_makes_no_suspect)
+TEST(failure_estimate, one_overdue_request_makes_no_suspect)
 {
     failure_estimate d;
     d.at = start;
-    estimate_add_overdue(d, on(), 0.85, start);
+    estimate_add_overdue(d, enabled_policy(), 0.85, start);
     EXPECT_FALSE(d.suspect);
-    estimate_add_overdue(d, on(), 0.85, start);
-    estimate_add_overdue(d, on(), 0.85, start);
+    estimate_add_overdue(d, enabled_policy(), 0.85, start);
+    estimate_add_overdue(d, enabled_policy(), 0.85, start);
     EXPECT_TRUE(d.suspect);
 }
 
-// Callers of charges see failures in bursts: a sick backend server answers
-// 500 within 2 ms, so its slots are always free. The gate must turn charges
-// away after the first, tell the truth that they did not run, and still let
-// a lookup in now and then, or the end of the sickness is never seen.
-TEST(gate_failure_probability, a_suspect_takes_only_probes)
+// Requests fail in bursts because a failing backend server answers at once and
+// looks idle. The gate must refuse all but probes.
+TEST(gate_suspect, admits_only_probes)
 {
     auto g = make_gate(6);
     gate_error last{};
@@ -108,19 +105,17 @@
     EXPECT_TRUE(admit(g, work(3, start, us_per_s), later, last));
     EXPECT_FALSE(admit(g, work(4, start, us_per_s), later, last));
     EXPECT_EQ(last, gate_error::suspected);
-    auto last_try = work(5, start, us_per_s);
-    last_try.may_probe = false;
+    auto last_attempt = work(5, start, us_per_s);
+    last_attempt.may_probe = false;
     const auto next = later + g.limits.doubt.probe_every;
-    EXPECT_FALSE(admit(g, last_try, next, last));
+    EXPECT_FALSE(admit(g, last_attempt, next, last));
     gate_report_outcome(g, backend, false, took, later);
     gate_report_outcome(g, backend, false, took, later);
     EXPECT_TRUE(admit(g, work(6, start, 2 * us_per_s, false), later, last));
 }
 
-// Callers are refused though a backend server is well again: it failed each
-// piece of work at once, and now one probe lives on. Nobody has to wait for
-// its whole answer to send the next one; one that fails again stops that.
-TEST(gate_failure_probability, a_probe_that_lives_lets_the_next_one_in)
+// Recovery is slow if each probe has to end before the next one is admitted.
+TEST(gate_suspect, probe_that_outlives_a_fast_failure_admits_the_next)
 {
     auto g = make_gate(6);
     gate_error last{};
@@ -136,9 +131,8 @@
     EXPECT_FALSE(admit(g, work(4, now, us_per_s), now, last));
 }
 
-// One that hung gives no sign within so short a time: its probes stay apart,
-// or all its slots would hang again.
-TEST(gate_failure_probability, probes_of_one_that_hung_stay_apart)
+// Probes of a hanging backend server would fill all of its slots.
+TEST(gate_suspect, probes_keep_their_interval_after_a_hang)
 {
     auto g = make_gate(6);
     gate_error last{};
@@ -149,10 +143,8 @@
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
 }
 
-// A service whose work must never run twice: each of its backend servers
-// fails once, and callers get refusals for good, because only idempotent work
-// was let in to show that they are well. When doubt has faded, any work may.
-TEST(gate_failure_probability, a_suspect_is_forgiven_where_no_work_may_fail)
+// A service without idempotent work would refuse requests forever.
+TEST(gate_suspect, any_work_probes_after_the_estimate_decayed)
 {
     auto g = make_gate(6);
     gate_error last{};
@@ -164,9 +156,8 @@
     EXPECT_FALSE(admit(g, work(3, later, 2 * us_per_s, false), later, last));
 }
 
-// Work waits at a gate when its backend server turns sick. Elsewhere there
-// are slots: it must be told at once, as not run, and never run here.
-TEST(gate_failure_probability, what_waits_is_refused_when_a_suspect_is_made)
+// Queued work must be refused as not run, so that it can be retried elsewhere.
+TEST(gate_suspect, queued_work_is_refused)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -175,30 +166,28 @@
     ASSERT_EQ(admit(g, work(1, start, 2 * us_per_s), start, last),
               admission::started);
     ASSERT_EQ(admit(g, charge, start, last), admission::queued);
-    const auto told = gate_report_outcome(g, backend, true, took, start);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_FALSE(told[0].start);
-    EXPECT_EQ(told[0].refusal, gate_error::suspected);
+    const auto decisions = gate_report_outcome(g, backend, true, took, start);
+    ASSERT_EQ(decisions.size(), 1U);
+    EXPECT_FALSE(decisions[0].start);
+    EXPECT_EQ(decisions[0].why, gate_error::suspected);
     EXPECT_EQ(gate_find(g, charge.attempt)->state, gate_state::revoked);
 }
 
-TEST(gate_drain, what_waits_is_refused_when_a_drain_begins)
+TEST(gate_drain, queued_work_is_refused)
 {
     auto g = make_gate(1);
     gate_error last{};
     admit(g, work(1, start, 2 * us_per_s), start, last);
     ASSERT_EQ(admit(g, work(2, start, 2 * us_per_s), start, last),
               admission::queued);
-    const auto told = gate_drain_worker(g, backend, true, start);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].refusal, gate_error::draining);
+    const auto decisions = gate_drain_worker(g, backend, true, start);
+    ASSERT_EQ(decisions.size(), 1U);
+    EXPECT_EQ(decisions[0].why, gate_error::draining);
     EXPECT_FALSE(admit(g, work(3, start, 2 * us_per_s), start, last));
 }
 
-// A caller gets 504 though nothing failed: its request waited at a node that
-// was told to stop, got a slot five seconds later, and was cut when the
-// process ended. What waits is refused when the stop begins.
-TEST(gate_stop, what_waits_is_refused_and_nothing_starts_any_more)
+// Work that starts during a stop would be cut off when the process ends.
+TEST(gate_stop, queued_work_is_refused_and_nothing_starts)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -206,21 +195,18 @@
     admit(g, running, start, last);
     ASSERT_EQ(admit(g, work(2, start, 2 * us_per_s), start, last),
               admission::queued);
-    const auto told = gate_stop(g, start);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].refusal, gate_error::draining);
-    EXPECT_FALSE(told[0].start);
+    const auto decisions = gate_stop(g, start);
+    ASSERT_EQ(decisions.size(), 1U);
+    EXPECT_EQ(decisions[0].why, gate_error::draining);
+    EXPECT_FALSE(decisions[0].start);
     gate_finish(g, running, work_result::answered, us_per_s, start + us_per_s);
     EXPECT_TRUE(gate_advance(g, backend, start + us_per_s).empty());
     EXPECT_FALSE(admit(g, work(3, start, 2 * us_per_s), start, last));
     EXPECT_EQ(last, gate_error::draining);
 }
 
-// A caller of a charge gets 500 though its own backend server is well: the
-// lookups that it makes stand in one queue behind longer work and time out.
-// Lookups, with their short targets, must come first; what can still be in
-// time comes before what is late already.
-TEST(gate_queue, short_targets_first_then_what_can_be_in_time)
+// Lookups with a short target time out behind longer work.
+TEST(gate_queue, short_targets_first_then_work_within_its_target)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -248,9 +234,8 @@
     EXPECT_EQ(order, (std::vector<std::uint64_t>{4, 3, 2}));
 }
 
-// At 1.5 times capacity for seconds a queue without bound makes everybody
-// late. Whoever could only start after its target is told at once.
-TEST(gate_queue, what_would_start_too_late_is_refused_at_once)
+// In an overload an unbounded queue makes all work late.
+TEST(gate_queue, refuses_work_that_would_start_after_its_target)
 {
     auto g = make_gate(2);
     gate_error last{};
@@ -264,16 +249,13 @@
     }
     EXPECT_EQ(last, gate_error::deadline_short);
     EXPECT_EQ(started, 2);
-    // Two slots, half a second each: eight begin within two seconds.
+    // Two slots of half a second each start eight requests in two seconds.
     EXPECT_GE(queued, 5);
     EXPECT_LE(queued, 8);
 }
 
-// A caller gets 503 in a calm second: all slots were taken by long work for a
-// moment, its turn came after its target, and it was thrown out although the
-// gate had nothing else to do a second later. With slots to spare, work that
-// is late stays and is served before its deadline.
-TEST(gate_queue, late_work_is_kept_while_slots_are_left_over)
+// Late work must not be refused after a short peak, while slots become free.
+TEST(gate_queue, late_work_is_kept_while_slots_are_available)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -284,15 +266,13 @@
     const auto late = start + 7 * us_per_s / 2;
     EXPECT_TRUE(gate_advance(g, backend, late).empty());
     gate_finish(g, running, work_result::answered, us_per_s / 2, late);
-    const auto told = gate_advance(g, backend, late);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_TRUE(told[0].start);
+    const auto decisions = gate_advance(g, backend, late);
+    ASSERT_EQ(decisions.size(), 1U);
+    EXPECT_TRUE(decisions[0].start);
 }
 
-// The same in a long overload: work in time takes every slot that comes free,
-// second after second. What is late would wait for nothing until its caller
-// gives up; it is refused as soon as that is known.
-TEST(gate_queue, late_work_is_refused_while_work_in_time_takes_all)
+// In a long overload late work would wait until its caller gives up.
+TEST(gate_queue, late_work_is_refused_while_work_in_time_takes_all_slots)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -317,7 +297,8 @@
     EXPECT_LT(refused_at, start + 6 * us_per_s);
 }
 
-candidate make_candidate(std::uint64_t id, bool near, double load, double sick)
+candidate make_candidate(std::uint64_t id, bool near, double load,
+                         double probability)
 {
     candidate c;
     c.id = static_cast<worker_id>(id);
@@ -325,70 +306,68 @@
     c.slots = 6;
     c.load = load;
     c.load_at = start;
-    c.doubt.sick = sick;
-    c.doubt.at = start;
+    c.estimate.probability = probability;
+    c.estimate.at = start;
     return c;
 }
 
-worker_id placed(const std::vector<candidate>& all, bool retryable)
+worker_id choose_id(const std::vector<candidate>& all, bool retryable)
 {
     balance_policy b;
-    b.doubt = on();
+    b.estimate = enabled_policy();
     random_state rng{1};
     const auto c = choose_by_expected_loss(
         all, placement_policy{}, b, {retryable, 2 * us_per_s}, {}, rng, start);
     return c ? all[c->index].id : worker_id{};
 }
 
-// Charges fail again and again at the backend server that answers fastest:
-// the sick one is idle. Load alone must not decide.
-TEST(placing, an_idle_sick_one_is_passed_over)
+// A failing backend server is idle, so balancing by load alone would prefer it.
+TEST(placement, avoids_an_idle_failing_candidate)
 {
     const std::vector<candidate> all = {make_candidate(1, true, 0, 0.9),
                                         make_candidate(2, true, 0.8, 0.05)};
-    EXPECT_EQ(placed(all, false), static_cast<worker_id>(2));
+    EXPECT_EQ(choose_id(all, false), static_cast<worker_id>(2));
 }
 
-TEST(placing, near_unless_the_wait_there_costs_more)
+TEST(placement, prefers_near_unless_its_wait_costs_more)
 {
-    EXPECT_EQ(placed({make_candidate(1, true, 0.9, 0.05),
-                      make_candidate(2, false, 0.1, 0.05)},
-                     false),
+    EXPECT_EQ(choose_id({make_candidate(1, true, 0.9, 0.05),
+                         make_candidate(2, false, 0.1, 0.05)},
+                        false),
               static_cast<worker_id>(1));
-    EXPECT_EQ(placed({make_candidate(1, true, 3.5, 0.05),
-                      make_candidate(2, false, 0.1, 0.05)},
-                     false),
+    EXPECT_EQ(choose_id({make_candidate(1, true, 3.5, 0.05),
+                         make_candidate(2, false, 0.1, 0.05)},
+                        false),
               static_cast<worker_id>(2));
 }
 
-TEST(placing, a_path_that_loses_work_is_the_last_choice)
+TEST(placement, avoided_path_is_the_last_choice)
 {
     auto cut = make_candidate(1, true, 0, 0.05);
     cut.path_bad = true;
-    EXPECT_EQ(placed({cut, make_candidate(2, false, 0.9, 0.05)}, false),
+    EXPECT_EQ(choose_id({cut, make_candidate(2, false, 0.9, 0.05)}, false),
               static_cast<worker_id>(2));
-    EXPECT_EQ(placed({cut}, false), static_cast<worker_id>(1));
+    EXPECT_EQ(choose_id({cut}, false), static_cast<worker_id>(1));
 }
 
-TEST(placing, a_known_suspect_is_not_asked_again_at_once)
+TEST(placement, suspect_is_not_retried_at_once)
 {
     auto suspect = make_candidate(1, true, 0, 0.9);
-    suspect.doubt.suspect = true;
-    EXPECT_EQ(placed({suspect}, false), worker_id{});
-    suspect.doubt.at -= us_per_s;
-    EXPECT_EQ(placed({suspect}, false), static_cast<worker_id>(1));
+    suspect.estimate.suspect = true;
+    EXPECT_EQ(choose_id({suspect}, false), worker_id{});
+    suspect.estimate.at -= us_per_s;
+    EXPECT_EQ(choose_id({suspect}, false), static_cast<worker_id>(1));
 }
 
-// A release replaced half of a service; the proven half refuses work while
-// the new one gets a probe every few seconds. With twelve unknown ones, half
-// of the work that may fail must go to them.
-TEST(placing, many_newcomers_get_more_work)
+// After a release half of a service is new. It must not stay idle while the
+// other half refuses work.
+TEST(placement, many_new_candidates_get_more_probes)
 {
     std::vector<candidate> all = {make_candidate(1, true, 0.3, 0.01)};
     for (std::uint64_t id = 2; id < 14; ++id)
         all.push_back(make_candidate(id, true, 0, 0.3));
     balance_policy b;
-    b.doubt = on();
+    b.estimate = enabled_policy();
     random_state rng{1};
     int probes = 0;
     for (int k = 0; k < 200; ++k) {
@@ -400,17 +379,15 @@
     EXPECT_GE(probes, 80);
 }
 
-// Backend servers that were ejected are well again and get nothing for 8 to
-// 10 s: among 20 near ones none of them ever has the least expected loss, so
-// no work shows that they are well. Repeatable work is sent to them on purpose.
-TEST(placing, an_ejected_one_gets_work_that_shows_it_well)
+// The recovery of an ejected candidate goes unnoticed without probe traffic.
+TEST(placement, ejected_candidate_gets_retryable_work)
 {
     balance_policy b;
-    b.doubt = on();
+    b.estimate = enabled_policy();
     std::vector<candidate> all(20);
     for (std::size_t k = 0; k < all.size(); ++k) {
         all[k].id = static_cast<worker_id>(k + 1);
-        all[k].doubt = {0.05, start, false, 0, false};
+        all[k].estimate = {0.05, start, false, 0, false};
         all[k].load_at = start;
     }
     all[7].probe_only = true;
@@ -430,15 +407,13 @@
     EXPECT_EQ(charges, 0);
 }
 
-// A backend server joins a quiet service and gets nothing for good: those
-// that were proven lately always cost less than one that nobody knows. Some
-// of the work whose failure would be tried again must go there.
-TEST(placing, a_newcomer_gets_some_work)
+// A new candidate would never be chosen, because known ones always cost less.
+TEST(placement, new_candidate_gets_some_work)
 {
     const std::vector<candidate> all = {make_candidate(1, true, 0.3, 0.01),
                                         make_candidate(2, true, 0, 0.3)};
     balance_policy b;
-    b.doubt = on();
+    b.estimate = enabled_policy();
     random_state rng{1};
     int probes = 0;
     int charges = 0;
@@ -457,11 +432,9 @@
     EXPECT_EQ(charges, 0);
 }
 
-// A service gets twice the lookups that it can serve, and each is part of a
-// request that holds a slot elsewhere while it waits. Those that would wait
-// for longer than 400 ms are refused at once, though their deadline of 800 ms
-// is not over by then; the slots stay as busy, and nothing waits in vain.
-TEST(gate_queue, lookups_of_an_overload_wait_briefly_or_not_at_all)
+// Lookups that wait long in an overload hold slots of the services that call
+// them.
+TEST(gate_queue, lookups_wait_briefly_in_an_overload)
 {
     constexpr span_us each = 80 * us_per_ms;
     constexpr span_us longest = 400 * us_per_ms;
@@ -501,10 +474,8 @@
     EXPECT_LE(w.queue.size(), 6U);
 }
 
-// Two routes whose names once fell into the same of eight classes: an upload
-// of seconds made lookups of 80 ms look as long, and they were refused while
-// there was time for them.
-TEST(gate_queue, each_class_has_its_own_usual_time)
+// Slow uploads must not lengthen the expected duration of lookups.
+TEST(gate_queue, each_class_has_its_own_duration)
 {
     auto g = make_gate(1);
     auto upload = work(1, start, 8 * us_per_s);
@@ -522,8 +493,8 @@
     EXPECT_EQ(w.classes.at(lookup.route_class).mean_duration, 80 * us_per_ms);
 }
 
-// Routes come and go with configurations; the process stays.
-TEST(gate_queue, classes_are_bounded_and_the_oldest_goes)
+// Routes change with the configuration, so classes must not accumulate.
+TEST(gate_queue, evicts_the_oldest_class)
 {
     auto g = make_gate(1);
     gate_error last{};
@@ -540,7 +511,7 @@
     EXPECT_EQ(classes.count(max_classes), 1U);
 }
 
-/// A gate whose backend server failed at once a moment ago.
+/// Makes a gate whose backend server has just failed.
 gate make_suspect(mono_us failed_at)
 {
     auto g = make_gate(2);
@@ -548,11 +519,9 @@
     return g;
 }
 
-// All well backend servers of a service are full, and a lookup that running
-// work waits for would be refused; with it fails the request that it is for.
-// Its last resort is a suspect. That one is sick in most cases, but an answer
-// in one case of seven is more than none, and a failed lookup costs nothing.
-TEST(last_resort, repeatable_work_is_let_in_by_a_suspect_at_any_time)
+// While all healthy backend servers are full, a suspect is better than a
+// refusal.
+TEST(fallback, suspect_admits_idempotent_work_at_any_time)
 {
     auto g = make_suspect(start);
     const auto now = start + us_per_ms;
@@ -567,10 +536,8 @@
     }
 }
 
-// A charge finds no room. A suspect would fail it in most cases, and its
-// caller could no longer be told that it has not run. The gate refuses it
-// even if an entry node marks it as a last resort.
-TEST(last_resort, work_that_must_not_run_twice_is_not_let_in)
+// A failed charge at a suspect could no longer be reported as not run.
+TEST(fallback, suspect_refuses_non_idempotent_work)
 {
     auto g = make_suspect(start);
     gate_error last{};
@@ -583,21 +550,22 @@
     }
 }
 
-candidate suspect_at(std::uint64_t id, mono_us failed_at)
+candidate make_suspect_candidate(std::uint64_t id, mono_us failed_at)
 {
     candidate c;
     c.id = static_cast<worker_id>(id);
-    c.doubt.sick = 0.95;
-    c.doubt.suspect = true;
-    c.doubt.at = failed_at;
+    c.estimate.probability = 0.95;
+    c.estimate.suspect = true;
+    c.estimate.at = failed_at;
     return c;
 }
 
-TEST(last_resort, goes_to_the_suspect_that_rested_longest)
+TEST(fallback, chooses_the_suspect_with_the_oldest_failure)
 {
-    std::vector<candidate> all{
-        suspect_at(1, start), suspect_at(2, start - 5 * us_per_s), candidate{}};
-    all[2].id = static_cast<worker_id>(3); // well, and full
+    std::vector<candidate> all{make_suspect_candidate(1, start),
+                               make_suspect_candidate(2, start - 5 * us_per_s),
+                               candidate{}};
+    all[2].id = static_cast<worker_id>(3); // healthy and full
     std::vector<worker_id> tried;
     const balance_policy p;
     const auto first = choose_fallback(all, p, tried, start + us_per_ms);
--- a/test/test_load_news.cpp
+++ b/test/test_load_news.cpp
@@ -1,4 +1,4 @@
-// How often a data centre is told how a backend server stands.
+// Rate of load updates to a data centre.
 #include "balance/load_news.hpp"
 
 #include <gtest/gtest.h>
@@ -13,40 +13,40 @@
     return l;
 }
 
-/// Words that a load which moves by one slot every 70 ms makes in a second.
-int words_in_a_second(double from, double to, double slots)
+/// Returns the updates in one second for a load that changes every 70 ms.
+int updates_per_second(double from, double to, double slots)
 {
     const load_update_policy p;
-    load_report told = at_load(from);
-    mono_us told_at = 0;
-    int words = 0;
+    load_report last_sent = at_load(from);
+    mono_us sent_at = 0;
+    int updates = 0;
     for (int k = 1; k <= 100; ++k) {
         const mono_us now = k * 10 * us_per_ms;
         const auto l = at_load(k / 7 % 2 == 0 ? from : to);
-        if (!is_load_update_due(l, told, slots, now - told_at, p))
+        if (!is_load_update_due(l, last_sent, slots, now - sent_at, p))
             continue;
-        told = l;
-        told_at = now;
-        ++words;
+        last_sent = l;
+        sent_at = now;
+        ++updates;
     }
-    return words;
+    return updates;
 }
 
-// Nodes with a tenth of a core spend it on datagrams: each piece of work that
-// begins or ends at a half idle backend server is told to 32 others.
-TEST(load_news, a_half_idle_backend_server_is_told_twice_a_second)
+// Small nodes would spend their CPU time on datagrams if each request at a half
+// idle backend server caused an update.
+TEST(load_update, twice_a_second_at_half_load)
 {
-    EXPECT_LE(words_in_a_second(5 / 13.0, 6 / 13.0, 13), 2);
+    EXPECT_LE(updates_per_second(5 / 13.0, 6 / 13.0, 13), 2);
 }
 
-// Where slots run out, one slot more or less decides whether work waits.
-TEST(load_news, a_full_one_is_told_slot_by_slot)
+// Near full load one slot decides whether work waits.
+TEST(load_update, slot_by_slot_at_full_load)
 {
-    EXPECT_GE(words_in_a_second(12 / 13.0, 13 / 13.0, 13), 10);
-    EXPECT_LE(words_in_a_second(12 / 13.0, 13 / 13.0, 13), 17);
+    EXPECT_GE(updates_per_second(12 / 13.0, 13 / 13.0, 13), 10);
+    EXPECT_LE(updates_per_second(12 / 13.0, 13 / 13.0, 13), 17);
 }
 
-TEST(load_news, a_suspect_is_told_at_once)
+TEST(load_update, change_of_suspicion_at_once)
 {
     const load_update_policy p;
     auto l = at_load(0.1);
--- a/test/test_silence.cpp
+++ b/test/test_silence.cpp
@@ -1,4 +1,4 @@
-// Work without an answer as evidence: when it speaks, and when it must not.
+// Outstanding work as evidence of failure.
 #include "verdict/verdict_cmd.hpp"
 #include "verdict/verdict_query.hpp"
 
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr mono_us start = 100 * us_per_s;
-constexpr span_us least = us_per_s;
+constexpr span_us min_age = us_per_s;
 constexpr span_us target = 4 * us_per_s;
 constexpr std::uint32_t reads = 3;
 
@@ -19,20 +19,19 @@
     return p;
 }
 
-/// Sends work that has no answer yet.
+/// Sends work.
 void send(worker_health& h, std::uint64_t key, mono_us at,
           std::uint32_t route_class)
 {
     health_record_sent(h, {key, at, 0, route_class, target, false});
 }
 
-/// Teaches how long work of a class takes.
-void teach(worker_health& h, std::uint32_t route_class, span_us took, int times)
+/// Trains the duration baseline of a class.
+void train(worker_health& h, std::uint32_t route_class, span_us took, int times)
 {
     for (int k = 0; k < times; ++k) {
         const auto key = static_cast<std::uint64_t>(1000 + k);
         send(h, key, start - took, route_class);
-        // Some answers come a little sooner or later than others.
         const auto varied = took + (k % 5 - 2) * took / 8;
         health_record_outcome(h, policy(), key,
                               {outcome_kind::success, varied, 0, route_class},
@@ -40,27 +39,23 @@
     }
 }
 
-// Callers of a fleet that was just restarted are refused, and a third of its
-// sound backend servers get no work for seconds. Each node's process is new and
-// has seen no answer; it assumed work of 20 ms, so reads of 1.7 s were missing
-// after a second. Log: 2010 cause=silence, then 1023 status=200 in 834 of 856
-// cases; 2001 with recent_failed=0 outstanding=6, and all of the six answered.
-TEST(silence, a_new_process_takes_no_work_for_missing_before_its_target)
+// A restarted node has no duration baseline and must not take slow but healthy
+// work for overdue.
+TEST(overdue, without_a_baseline_not_before_the_target)
 {
     worker_health h;
     for (std::uint64_t k = 1; k <= 6; ++k)
         send(h, k, start, reads);
     const auto soon = start + 3 * us_per_s;
-    EXPECT_EQ(health_mark_overdue(h, least, soon), 0U);
+    EXPECT_EQ(health_mark_overdue(h, min_age, soon), 0U);
     EXPECT_EQ(health_check(h, policy(), soon), outlier_action::none);
     EXPECT_LT(health_suspicion(h, policy(), soon).score, 1);
-    // One that hangs shows all the same.
-    EXPECT_EQ(health_mark_overdue(h, least, start + target), 6U);
+    // A hanging backend server is still detected.
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + target), 6U);
 }
 
-// One failure after a restart is a failure and no more: the work beside it is
-// not missing yet, and must not make an ejection of it.
-TEST(silence, unlearned_durations_add_nothing_to_a_failure)
+// One failure after a restart must not cause an ejection.
+TEST(overdue, without_a_baseline_adds_nothing_to_a_failure)
 {
     worker_health h;
     for (std::uint64_t k = 1; k <= 6; ++k)
@@ -71,21 +66,18 @@
     EXPECT_EQ(health_check(h, policy(), soon), outlier_action::none);
 }
 
-TEST(silence, what_lasts_longer_than_nearly_all_is_missing)
+TEST(overdue, marks_work_beyond_the_baseline_once)
 {
     worker_health h;
-    teach(h, reads, us_per_s, 60);
+    train(h, reads, us_per_s, 60);
     send(h, 1, start, reads);
-    EXPECT_EQ(health_mark_overdue(h, least, start + 3 * us_per_s / 2), 0U);
-    EXPECT_EQ(health_mark_overdue(h, least, start + target), 1U);
-    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * target), 0U); // once
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + 3 * us_per_s / 2), 0U);
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + target), 1U);
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + 2 * target), 0U);
 }
 
-// Callers of reads lose a third of their backend servers again and again,
-// though all are well: a lookup of a millisecond and a read of two seconds fell
-// into one of eight classes by their hashes, the usual time became some tens of
-// milliseconds, and each read was missing after a second.
-TEST(silence, routes_share_no_durations_whatever_their_hashes)
+// Fast lookups that share a class with slow reads would make each read overdue.
+TEST(overdue, routes_share_no_duration_baseline)
 {
     worker_health h;
     const std::uint32_t lookup_route = 5;
@@ -93,36 +85,33 @@
     const auto lookup = health_route_class(h, lookup_route, start);
     const auto read = health_route_class(h, read_route, start);
     ASSERT_NE(lookup, read);
-    teach(h, lookup, us_per_ms, 60);
-    teach(h, read, 2 * us_per_s, 20);
+    train(h, lookup, us_per_ms, 60);
+    train(h, read, 2 * us_per_s, 20);
     send(h, 1, start, read);
-    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * us_per_s), 0U);
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + 2 * us_per_s), 0U);
     EXPECT_EQ(health_route_class(h, read_route, start + 1), read);
 }
 
-// Routes come and go with configurations for as long as the process lives. A
-// new one takes the place of the one seen least lately, and none of what was
-// learned of that.
-TEST(silence, a_new_route_inherits_nothing)
+// A new route must not inherit the duration baseline of an evicted one.
+TEST(overdue, new_route_inherits_no_baseline)
 {
     worker_health h;
     const auto first = health_route_class(h, 1, start);
-    teach(h, first, us_per_ms, 60);
+    train(h, first, us_per_ms, 60);
     for (std::uint32_t route = 2; route <= max_route_classes; ++route)
         health_route_class(h, route, start + route);
     const auto late = health_route_class(h, 99, start + us_per_s);
     EXPECT_EQ(late, first);
     send(h, 1, start, late);
-    EXPECT_EQ(health_mark_overdue(h, least, start + 2 * us_per_s), 0U);
+    EXPECT_EQ(health_mark_overdue(h, min_age, start + 2 * us_per_s), 0U);
     EXPECT_NE(health_route_class(h, 1, start + us_per_s), late);
 }
 
-// A backend server that hangs is still ejected by its silence alone, once its
-// usual durations are known.
-TEST(silence, one_that_hangs_is_ejected)
+// Overdue work alone must eject a hanging backend server.
+TEST(overdue, hanging_backend_server_is_ejected)
 {
     worker_health h;
-    teach(h, reads, us_per_s / 10, 60);
+    train(h, reads, us_per_s / 10, 60);
     for (std::uint64_t k = 1; k <= 6; ++k)
         send(h, k, start, reads);
     auto step = outlier_action::none;
