--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -10,7 +10,7 @@
 #include "gate/gate_cmd.hpp"
 #include "member/member_cmd.hpp"
 #include "member/member_query.hpp"
-#include "verdict/verdict_type.hpp"
+#include "outlier/outlier_type.hpp"
 #include "wire/wire_func.hpp"
 
 #include <ctime>
--- a/bench/ejection_core.cpp
+++ b/bench/ejection_core.cpp
@@ -1,8 +1,8 @@
 // The project's verdicts as a detector of the bench.
 #include "ejection_detectors.hpp"
-#include "verdict/floor_type.hpp"
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/floor_type.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/balance/balance_type.hpp
+++ b/src/balance/balance_type.hpp
@@ -7,7 +7,7 @@
 #include "base/id_type.hpp"
 #include "base/random_func.hpp"
 #include "base/time_type.hpp"
-#include "verdict/doubt_type.hpp"
+#include "outlier/estimate_type.hpp"
 
 #include <optional>
 #include <vector>
--- a/src/balance/load_news.cpp
+++ b/src/balance/load_update.cpp
@@ -1,5 +1,5 @@
 // Load updates; see load_update.hpp.
-#include "balance/load_news.hpp"
+#include "balance/load_update.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/balance/place_func.cpp
+++ b/src/balance/placement_func.cpp
@@ -1,5 +1,5 @@
 // Placement by expected loss; see placement_type.hpp.
-#include "balance/place_type.hpp"
+#include "balance/placement_type.hpp"
 
 #include <algorithm>
 
--- a/src/balance/view_type.hpp
+++ b/src/balance/view_type.hpp
@@ -5,8 +5,8 @@
 #include "balance/balance_type.hpp"
 #include "config/config_type.hpp"
 #include "member/member_type.hpp"
-#include "verdict/floor_type.hpp"
-#include "verdict/path_type.hpp"
+#include "outlier/floor_type.hpp"
+#include "outlier/path_type.hpp"
 
 #include <string>
 #include <unordered_map>
--- a/src/gate/gate_type.hpp
+++ b/src/gate/gate_type.hpp
@@ -5,7 +5,7 @@
 #include "base/id_type.hpp"
 #include "base/names_type.hpp"
 #include "base/time_type.hpp"
-#include "verdict/doubt_type.hpp"
+#include "outlier/estimate_type.hpp"
 
 #include <cstdint>
 #include <deque>
--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -4,7 +4,7 @@
 #include "node/admin_api.hpp"
 #include "node/admin_quarantine.hpp"
 #include "node/announce.hpp"
-#include "verdict/floor_type.hpp"
+#include "outlier/floor_type.hpp"
 
 #include <boost/json.hpp>
 #include <sodium.h>
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -5,8 +5,8 @@
 #include "node/admin_api.hpp"
 #include "node/admin_quarantine.hpp"
 #include "node/admin_team.hpp"
+#include "outlier/outlier_query.hpp"
 #include "table/event_table.hpp"
-#include "verdict/verdict_query.hpp"
 
 #include <boost/json.hpp>
 
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -14,7 +14,7 @@
 #include "node/peer_request.hpp"
 #include "node/quarantine_driver.hpp"
 #include "node/worker_request.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_query.hpp"
 
 namespace jasminetray {
 
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -1,13 +1,13 @@
 // Outlier detection; see health_driver.hpp.
 #include "node/health_driver.hpp"
 
-#include "balance/load_news.hpp"
+#include "balance/load_update.hpp"
 #include "base/text_func.hpp"
 #include "config/config_query.hpp"
 #include "gate/gate_query.hpp"
 #include "node/announce.hpp"
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <algorithm>
 #include <iomanip>
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -5,7 +5,7 @@
 #include "base/text_func.hpp"
 #include "config/config_query.hpp"
 #include "gate/gate_query.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <cmath>
 
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -4,8 +4,8 @@
 #pragma once
 
 #include "attempt/attempt_type.hpp"
-#include "balance/load_news.hpp"
-#include "balance/place_type.hpp"
+#include "balance/load_update.hpp"
+#include "balance/placement_type.hpp"
 #include "balance/view_type.hpp"
 #include "config/config_type.hpp"
 #include "config/node_settings.hpp"
@@ -16,10 +16,10 @@
 #include "node/dialect_type.hpp"
 #include "node/http_type.hpp"
 #include "node/node_metrics.hpp"
+#include "outlier/outlier_type.hpp"
 #include "quarantine/quarantine_type.hpp"
 #include "store/store_type.hpp"
 #include "team/allowance_type.hpp"
-#include "verdict/verdict_type.hpp"
 
 #include <boost/asio/thread_pool.hpp>
 #include <functional>
--- a/src/node/worker_request.cpp
+++ b/src/node/worker_request.cpp
@@ -6,8 +6,8 @@
 #include "node/crash_watch.hpp"
 #include "node/health_driver.hpp"
 #include "node/http_func.hpp"
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_math.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_math.hpp"
 
 #include <cmath>
 
--- a/src/verdict/doubt_func.cpp
+++ b/src/outlier/estimate_func.cpp
@@ -1,5 +1,5 @@
 // Failure probability estimate; see estimate_type.hpp.
-#include "verdict/doubt_type.hpp"
+#include "outlier/estimate_type.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/verdict/floor_func.cpp
+++ b/src/outlier/floor_func.cpp
@@ -1,5 +1,5 @@
 // Ejection decisions under the capacity floor; see floor_type.hpp.
-#include "verdict/floor_type.hpp"
+#include "outlier/floor_type.hpp"
 
 #include <algorithm>
 
--- a/src/verdict/verdict_cmd.cpp
+++ b/src/outlier/outlier_cmd.cpp
@@ -1,8 +1,8 @@
 // Updates of health state; see outlier_cmd.hpp.
-#include "verdict/verdict_cmd.hpp"
+#include "outlier/outlier_cmd.hpp"
 
-#include "verdict/verdict_math.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_math.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/verdict/verdict_math.cpp
+++ b/src/outlier/outlier_math.cpp
@@ -1,5 +1,5 @@
 // Log likelihood ratios; see outlier_math.hpp.
-#include "verdict/verdict_math.hpp"
+#include "outlier/outlier_math.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/verdict/verdict_math.hpp
+++ b/src/outlier/outlier_math.hpp
@@ -1,7 +1,7 @@
 // Log likelihood ratios of outlier detection.
 #pragma once
 
-#include "verdict/verdict_type.hpp"
+#include "outlier/outlier_type.hpp"
 
 namespace jasminetray {
 
--- a/src/verdict/verdict_peers.cpp
+++ b/src/outlier/outlier_peers.cpp
@@ -1,9 +1,9 @@
 // Comparison of the evidence with peers over the same time; see
 // outlier_cmd.hpp. An overload, a failing dependency or a bad release affects
 // many peers and must not eject those that happen to be the worst.
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_math.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_math.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/verdict/verdict_query.cpp
+++ b/src/outlier/outlier_query.cpp
@@ -1,7 +1,7 @@
 // Queries on health state; see outlier_query.hpp.
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_query.hpp"
 
-#include "verdict/verdict_math.hpp"
+#include "outlier/outlier_math.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/verdict/verdict_query.hpp
+++ b/src/outlier/outlier_query.hpp
@@ -1,7 +1,7 @@
 // Queries on the health state of a backend server.
 #pragma once
 
-#include "verdict/verdict_type.hpp"
+#include "outlier/outlier_type.hpp"
 
 namespace jasminetray {
 
--- a/src/verdict/path_func.cpp
+++ b/src/outlier/path_func.cpp
@@ -1,5 +1,5 @@
 // Path health; see path_type.hpp.
-#include "verdict/path_type.hpp"
+#include "outlier/path_type.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/test/fuzz_verdict.cpp
+++ b/test/fuzz_verdict.cpp
@@ -3,9 +3,9 @@
 // ones are restored, shared failures eject at most one, and decisions are
 // deterministic.
 #include "fuzz_frame.hpp"
-#include "verdict/floor_type.hpp"
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/floor_type.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include "base/random_func.hpp"
 
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -6,8 +6,8 @@
 #include "limit/limit_type.hpp"
 #include "member/member_cmd.hpp"
 #include "member/member_query.hpp"
-#include "verdict/floor_type.hpp"
-#include "verdict/path_type.hpp"
+#include "outlier/floor_type.hpp"
+#include "outlier/path_type.hpp"
 
 #include <gtest/gtest.h>
 
--- a/test/test_doubt.cpp
+++ b/test/test_estimate.cpp
@@ -1,5 +1,5 @@
 // Failure estimates, placement by expected loss, and the gate's queue.
-#include "balance/place_type.hpp"
+#include "balance/placement_type.hpp"
 #include "gate/gate_cmd.hpp"
 #include "gate/gate_query.hpp"
 
--- a/test/test_load_news.cpp
+++ b/test/test_load_update.cpp
@@ -1,5 +1,5 @@
 // Rate of load updates to a data centre.
-#include "balance/load_news.hpp"
+#include "balance/load_update.hpp"
 
 #include <gtest/gtest.h>
 
--- a/test/test_silence.cpp
+++ b/test/test_overdue.cpp
@@ -1,6 +1,6 @@
 // Outstanding work as evidence of failure.
-#include "verdict/verdict_cmd.hpp"
-#include "verdict/verdict_query.hpp"
+#include "outlier/outlier_cmd.hpp"
+#include "outlier/outlier_query.hpp"
 
 #include <gtest/gtest.h>
 
--- a/test/test_spread.cpp
+++ b/test/test_spread.cpp
@@ -1,6 +1,6 @@
 // Simulates placement in a service with little traffic: all healthy backend
 // servers must get work.
-#include "balance/place_type.hpp"
+#include "balance/placement_type.hpp"
 
 #include <gtest/gtest.h>
 
