--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -112,7 +112,7 @@
     auto& record = r.others[n];
     ++record.sequence;
     for (int k = 0; k < static_cast<int>(copies); ++k) {
-        auto m = from_peer(r, gossip_kind::news,
+        auto m = from_peer(r, gossip_kind::update,
                            random_below(r.rng, r.others.size()));
         m.records.push_back(record);
         arrive(r, m);
@@ -149,13 +149,13 @@
     for (std::size_t n = 1; n < nodes; ++n)
         r->others.push_back(make_record(n, workers));
     for (std::size_t n = 0; n < r->others.size(); ++n) {
-        m = from_peer(*r, gossip_kind::news, n);
+        m = from_peer(*r, gossip_kind::update, n);
         m.records.push_back(r->others[n]);
         member_receive(r->table, m, 1, 1, r->rng, r->now);
     }
     member_take_changes(r->table);
-    r->table.news.clear();
-    r->table.behind = false;
+    r->table.pending_updates.clear();
+    r->table.out_of_sync = false;
     return r;
 }
 
--- a/src/balance/load_update.cpp
+++ b/src/balance/load_update.cpp
@@ -23,7 +23,8 @@
     const double slot_step = 0.9 / std::max(1.0, slots);
     const double step = busy ? slot_step : std::max(slot_step, p.coarse_step);
     return std::abs(l.load - last_sent.load) >= step ||
-           std::abs(l.doubt - last_sent.doubt) >= p.failure_probability_step;
+           std::abs(l.failure_probability - last_sent.failure_probability) >=
+               p.failure_probability_step;
 }
 
 } // namespace jasminetray
--- a/src/balance/view_func.cpp
+++ b/src/balance/view_func.cpp
@@ -64,12 +64,13 @@
     c.exit = r.id;
     c.near = r.centre == v.centre;
     c.slots = std::max<double>(1, w.slots);
-    if (w.doubt != c.record_failure_percent) {
-        c.record_failure_percent = w.doubt;
+    if (w.failure_probability != c.record_failure_percent) {
+        c.record_failure_percent = w.failure_probability;
         constexpr double percent = 100;
-        c.estimate.probability = w.doubt / percent;
+        c.estimate.probability = w.failure_probability / percent;
         c.estimate.suspect =
-            w.doubt >= percent * failure_estimate_policy{}.suspect_threshold;
+            w.failure_probability >=
+            percent * failure_estimate_policy{}.suspect_threshold;
         c.estimate.at = now;
     }
     s.total += c.slots - s.ejection_requests[n].slots;
@@ -186,7 +187,7 @@
     c.load = l.load;
     c.load_at = now;
     c.work_us = l.work;
-    c.estimate.probability = l.doubt / percent;
+    c.estimate.probability = l.failure_probability / percent;
     c.estimate.suspect = l.suspect;
     c.estimate.at = now;
 }
--- a/src/config/config_check.cpp
+++ b/src/config/config_check.cpp
@@ -219,12 +219,12 @@
 
 bool index_keys(fleet_config& c, std::string& why)
 {
-    std::vector<given_key> given;
+    std::vector<configured_key> given;
     for (auto& [name, team] : c.teams) {
         const auto place = static_cast<std::uint32_t>(c.team_names.size());
         c.team_names.push_back(name);
         for (const auto& key : team.keys) {
-            if (is_key_usable(key))
+            if (is_valid_key(key))
                 given.push_back({key, place});
             else
                 c.notes.push_back("team " + name +
--- a/src/hosted/announcement_type.hpp
+++ b/src/hosted/announcement_type.hpp
@@ -25,7 +25,7 @@
     /// started, in milliseconds since 1970 by its own clock; 0 for not told.
     std::uint64_t boot = 0;
     std::uint64_t sequence = 0; ///< rises with each; 0 when not numbered
-    span_us cold_for = 0;       ///< it stays slow for as long after its start
+    span_us warm_up_time = 0;   ///< it stays slow for as long after its start
 };
 
 } // namespace jasminetray
--- a/src/hosted/incarnation_cmd.cpp
+++ b/src/hosted/incarnation_cmd.cpp
@@ -84,8 +84,9 @@
 
 } // namespace
 
-incarnation_step incarnation_hear(incarnation_table& t, const announcement& a,
-                                  mono_us now, std::uint64_t wall_ms)
+announcement_status apply_announcement(incarnation_table& t,
+                                       const announcement& a, mono_us now,
+                                       std::uint64_t wall_ms)
 {
     if (t.names.count(a.name) == 0)
         make_room(t);
@@ -94,27 +95,28 @@
     // without a start is taken all the same: work that it must not get is
     // worse than work that it misses.
     if (a.boot == 0 && k.born != 0 && !a.leaving && t.guards.need_start)
-        return incarnation_step::stranger;
+        return announcement_status::unidentified;
     if (!turn_to(k, a, t, now))
-        return incarnation_step::stale;
+        return announcement_status::stale;
     k.rival = {};
     k.heard_at = now;
     if (a.draining || a.leaving) {
         k.left = true;
         k.left_ms = a.boot == 0 ? wall_ms : 0;
-        return incarnation_step::gone;
+        return announcement_status::gone;
     }
     if (k.left && t.guards.keep_left)
-        return incarnation_step::stale;
+        return announcement_status::stale;
     if (k.sequence != 0 && a.sequence <= k.sequence && t.guards.order_numbers)
-        return incarnation_step::stale;
+        return announcement_status::stale;
     k.sequence = a.sequence;
     ++k.ready;
-    return incarnation_step::current;
+    return announcement_status::current;
 }
 
-bool is_start_of_answered(std::uint64_t born, std::uint64_t known,
-                          std::uint64_t answered_ms, std::uint64_t wall_ms)
+bool is_start_of_probed_process(std::uint64_t born, std::uint64_t known,
+                                std::uint64_t answered_ms,
+                                std::uint64_t wall_ms)
 {
     if (answered_ms == 0 || born <= known)
         return false;
--- a/src/hosted/incarnation_type.hpp
+++ b/src/hosted/incarnation_type.hpp
@@ -14,7 +14,7 @@
 namespace jasminetray {
 
 /// What an announcement means for the incarnation that its name stands for.
-enum class incarnation_step : std::uint8_t
+enum class announcement_status : std::uint8_t
 {
     stale,    ///< of an earlier incarnation, or older than what is known
     stranger, ///< does not say which incarnation it is of, where others do
@@ -22,7 +22,7 @@
     current,  ///< newest word of the newest incarnation
 };
 
-inline constexpr std::array<std::string_view, 4> incarnation_step_names = {
+inline constexpr std::array<std::string_view, 4> announcement_status_names = {
     "stale", "stranger", "gone", "current"};
 
 /// An incarnation that looks older than the newest one and goes on speaking.
@@ -98,8 +98,9 @@
 /// Takes an announcement in and says what it means.
 /// @param now monotonic, of this process
 /// @param wall_ms wall clock of this VM, in milliseconds since 1970
-incarnation_step incarnation_hear(incarnation_table& t, const announcement& a,
-                                  mono_us now, std::uint64_t wall_ms);
+announcement_status apply_announcement(incarnation_table& t,
+                                       const announcement& a, mono_us now,
+                                       std::uint64_t wall_ms);
 
 /// Whether a start that is named now is that of the process that answered a
 /// health probe, so that its work goes on. A node that starts beside a backend
@@ -113,7 +114,8 @@
 /// @param known start that was believed so far; 0 for none
 /// @param answered_ms wall clock when the answer came; 0 for no answer
 /// @param wall_ms wall clock now
-bool is_start_of_answered(std::uint64_t born, std::uint64_t known,
-                          std::uint64_t answered_ms, std::uint64_t wall_ms);
+bool is_start_of_probed_process(std::uint64_t born, std::uint64_t known,
+                                std::uint64_t answered_ms,
+                                std::uint64_t wall_ms);
 
 } // namespace jasminetray
--- a/src/limit/limit_func.cpp
+++ b/src/limit/limit_func.cpp
@@ -95,7 +95,7 @@
     return p;
 }
 
-bool take_team_token(allowance_book& b, const fleet_config& c,
+bool take_team_token(allowance_table& b, const fleet_config& c,
                      const std::string& team, mono_us now)
 {
     return take_allowance(b, text_hash(team), team_limit_of(c, team), 0,
--- a/src/limit/limit_type.hpp
+++ b/src/limit/limit_type.hpp
@@ -69,7 +69,7 @@
 /// @param c configuration with the team's rate
 /// @param team value of the caller's team header; empty for none
 /// @return false when the limit is exceeded
-bool take_team_token(allowance_book& b, const fleet_config& c,
+bool take_team_token(allowance_table& b, const fleet_config& c,
                      const std::string& team, mono_us now);
 
 /// Returns the policy of limits that are not shared with other nodes.
--- a/src/member/member_cmd.cpp
+++ b/src/member/member_cmd.cpp
@@ -23,7 +23,7 @@
     // same settings. Speaking with a higher generation outlives the former;
     // the latter shows as a clash again and again.
     if (boot != boot_id{} && boot != t.self.boot)
-        t.changes.push_back({member_change_kind::clash, t.self.id});
+        t.changes.push_back({member_change_kind::identity_conflict, t.self.id});
     toggle_digest(t, summary_of(t.self));
     t.self.generation = s.generation + 1;
     t.self.sequence = 1;
@@ -112,14 +112,14 @@
         auto ack = make_message(t, gossip_kind::ack);
         ack.probe = m.probe;
         ack.store_time =
-            latest_store_time(t.clock, now + t.suspended).value_or(0);
+            store_time_upper_bound(t.clock, now + t.suspended).value_or(0);
         add_suspicion(t, m.sender.id, ack);
         out.push_back({back.ip, back.port, std::move(ack)});
         break;
     }
     case gossip_kind::ack:
         return on_ack(t, m, out);
-    case gossip_kind::ping_for:
+    case gossip_kind::indirect_ping:
         return on_ping_for(t, m, back, now, out);
     case gossip_kind::digest:
         return on_digest(t, m, back, rng, out);
@@ -127,9 +127,9 @@
         return on_summaries(t, m, back, out);
     case gossip_kind::want:
         return push_records(t, m.want, back, out);
-    case gossip_kind::news:
-    case gossip_kind::ask_usual:
-    case gossip_kind::tell_usual:
+    case gossip_kind::update:
+    case gossip_kind::baseline_request:
+    case gossip_kind::baseline_response:
     case gossip_kind::load:
     case gossip_kind::quarantine:
         break; // records were taken in; questions are the owner's
@@ -156,11 +156,11 @@
 {
     toggle_digest(t, summary_of(t.self));
     auto workers = r.workers;
-    auto complaints = r.complaints;
+    auto complaints = r.avoided_peers;
     workers.resize(std::min(workers.size(), max_workers));
-    complaints.resize(std::min(complaints.size(), max_complaints));
+    complaints.resize(std::min(complaints.size(), max_avoided_peers));
     t.self.workers = std::move(workers);
-    t.self.complaints = std::move(complaints);
+    t.self.avoided_peers = std::move(complaints);
     t.self.leaving = r.leaving;
     ++t.self.sequence;
     toggle_digest(t, summary_of(t.self));
@@ -177,8 +177,8 @@
     return out;
 }
 
-void member_hear_config(member_table& t, std::uint64_t version,
-                        std::uint64_t hash)
+void member_observe_config(member_table& t, std::uint64_t version,
+                           std::uint64_t hash)
 {
     if (version <= t.config_version)
         return;
@@ -188,7 +188,7 @@
     t.changes.push_back({member_change_kind::config, t.self.id});
 }
 
-void member_hear_proof(member_table& t, const freshness_proof& proof)
+void member_observe_proof(member_table& t, const freshness_proof& proof)
 {
     if (proof.at <= t.proof.at)
         return;
@@ -243,8 +243,8 @@
 {
     std::vector<outgoing> out;
     const outgoing back{ip, port, {}};
-    member_hear_config(t, m.config_version, m.config_hash);
-    member_hear_proof(t, m.proof);
+    member_observe_config(t, m.config_version, m.config_hash);
+    member_observe_proof(t, m.proof);
     if (m.reads_store && m.centre == t.self.centre &&
         counts_as_reader(t, m.sender.id))
         t.reader_heard_at = now;
--- a/src/member/member_cmd.hpp
+++ b/src/member/member_cmd.hpp
@@ -17,11 +17,11 @@
 
 /// Takes up a configuration version that this node has or heard of. A lower
 /// one changes nothing.
-void member_hear_config(member_table& t, std::uint64_t version,
-                        std::uint64_t hash);
+void member_observe_config(member_table& t, std::uint64_t version,
+                           std::uint64_t hash);
 
 /// Takes up a proof that a version was the newest, read or heard.
-void member_hear_proof(member_table& t, const freshness_proof& proof);
+void member_observe_proof(member_table& t, const freshness_proof& proof);
 
 /// Does what is due.
 std::vector<outgoing> member_tick(member_table& t, random_state& rng,
--- a/src/member/member_message.cpp
+++ b/src/member/member_message.cpp
@@ -20,7 +20,7 @@
 std::size_t size_of(const node_record& r)
 {
     return record_bytes + r.name.size() + worker_bytes * r.workers.size() +
-           8 * r.complaints.size();
+           8 * r.avoided_peers.size();
 }
 
 } // namespace
@@ -119,10 +119,10 @@
 {
     std::size_t room = 0;
     for (const auto id : ids) {
-        if (out.empty() || out.back().message.kind != gossip_kind::news ||
+        if (out.empty() || out.back().message.kind != gossip_kind::update ||
             !put_news(t, id, out.back().message, room)) {
             out.push_back(back);
-            out.back().message = make_message(t, gossip_kind::news);
+            out.back().message = make_message(t, gossip_kind::update);
             room = t.policy.datagram_bytes;
             put_news(t, id, out.back().message, room);
         }
--- a/src/member/member_probe.cpp
+++ b/src/member/member_probe.cpp
@@ -33,7 +33,7 @@
                        [&](const auto* m) { return m->record.id == p.target; }),
         near.end());
     for (std::size_t n = 0; n < t.policy.helpers && !near.empty(); ++n) {
-        auto m = make_message(t, gossip_kind::ping_for);
+        auto m = make_message(t, gossip_kind::indirect_ping);
         m.probe = p.number;
         m.target = p.target;
         m.target_address = t.members[p.target].record.address;
@@ -124,7 +124,7 @@
         // A node that started while it cannot reach the store learns the
         // store's time from others, and goes on serving by their proofs.
         if (m.store_time != 0)
-            hear_store_time(t.clock, m.store_time, own->first_sent);
+            update_store_clock(t.clock, m.store_time, own->first_sent);
         t.probes.erase(own);
         return;
     }
--- a/src/member/member_query.cpp
+++ b/src/member/member_query.cpp
@@ -102,7 +102,7 @@
     return reader < t.self.id || is_ranked_reader(t, reader);
 }
 
-span_us reader_pause(span_us last, bool ranked)
+span_us reader_backoff(span_us last, bool ranked)
 {
     constexpr span_us first = 100 * us_per_ms; // most outages are short
     constexpr span_us max_ranked = us_per_s;   // news is late by this at most
--- a/src/member/member_query.hpp
+++ b/src/member/member_query.hpp
@@ -47,7 +47,7 @@
 /// stand-in: 233 of them that asked again each second made 4,000 calls in 8 s,
 /// and 3,700 would keep a store that returns from serving anybody. The ranked
 /// readers ask as often as before and tell the others.
-span_us reader_pause(span_us last, bool ranked);
+span_us reader_backoff(span_us last, bool ranked);
 
 /// Whether a reader's word counts for this node: it is a ranked one, or a
 /// stand-in that comes before this node, so that not all stand-ins stop at
--- a/src/member/member_spread.cpp
+++ b/src/member/member_spread.cpp
@@ -27,14 +27,14 @@
         if (own_centre_only && (foreign || told_far))
             continue;
         if (messages.empty() || !put_news(t, n.about, messages.back(), room)) {
-            messages.push_back(make_message(t, gossip_kind::news));
+            messages.push_back(make_message(t, gossip_kind::update));
             room = t.policy.datagram_bytes;
             put_news(t, n.about, messages.back(), room);
         }
     }
     // A configuration's number travels in the header: no record needed.
     if (messages.empty() && t.config_rounds > 0)
-        messages.push_back(make_message(t, gossip_kind::news));
+        messages.push_back(make_message(t, gossip_kind::update));
     return messages;
 }
 
@@ -178,7 +178,7 @@
 void greet_centres(member_table& t, random_state& rng,
                    std::vector<outgoing>& out)
 {
-    relay(t, make_message(t, gossip_kind::news), rng, out);
+    relay(t, make_message(t, gossip_kind::update), rng, out);
 }
 
 void greet_dead(member_table& t, random_state& rng, std::vector<outgoing>& out)
@@ -192,8 +192,8 @@
             dead.push_back(&m);
     }
     if (const auto* m = pick(dead, rng))
-        out.push_back(
-            to_address(m->record.address, make_message(t, gossip_kind::news)));
+        out.push_back(to_address(m->record.address,
+                                 make_message(t, gossip_kind::update)));
 }
 
 void on_digest(member_table& t, const gossip_message& m, const outgoing& back,
--- a/src/member/member_type.hpp
+++ b/src/member/member_type.hpp
@@ -67,8 +67,8 @@
     std::vector<node_id> complaints;    ///< nodes whose path it avoids
 };
 
-constexpr std::size_t max_workers = 48;   ///< in a record
-constexpr std::size_t max_complaints = 8; ///< in a record
+constexpr std::size_t max_workers = 48;      ///< in a record
+constexpr std::size_t max_avoided_peers = 8; ///< in a record
 
 /// Whether a node answers.
 enum class liveness : std::uint8_t
@@ -104,17 +104,17 @@
 /// What a datagram is for.
 enum class gossip_kind : std::uint8_t
 {
-    ping,       ///< answer with an ack
-    ack,        ///< answer to a ping
-    ping_for,   ///< ping `target` and tell me when it answers
-    news,       ///< records and rumours only
-    digest,     ///< hashes of all buckets
-    summaries,  ///< what the sender has in the buckets that differ
-    want,       ///< send me these records
-    ask_usual,  ///< how does your backend server of a service look?
-    tell_usual, ///< answer to ask_usual
-    load,       ///< how busy backend servers are at this moment
-    quarantine, ///< requests that crash what runs them
+    ping,              ///< answer with an ack
+    ack,               ///< answer to a ping
+    indirect_ping,     ///< ping `target` and tell me when it answers
+    news,              ///< records and rumours only
+    digest,            ///< hashes of all buckets
+    summaries,         ///< what the sender has in the buckets that differ
+    want,              ///< send me these records
+    baseline_request,  ///< how does your backend server of a service look?
+    baseline_response, ///< answer to baseline_request
+    load,              ///< how busy backend servers are at this moment
+    quarantine,        ///< requests that crash what runs them
 };
 
 constexpr std::size_t gossip_kinds = 11; ///< number of kinds
@@ -131,7 +131,7 @@
 };
 
 /// A question about a service's backend servers and its answer.
-struct usual_question
+struct baseline_query
 {
     std::uint64_t ticket = 0; ///< of the asker
     service_id service{};
@@ -160,16 +160,16 @@
     freshness_proof proof;            ///< newest that the sender knows
     store_us store_time = 0;          ///< ack: the store's, at the latest; 0
                                       ///< when the sender does not know it
-    std::uint64_t probe = 0;          ///< ping, ack and ping_for: which probe
-    node_id target{};                 ///< ping_for: whom to ping
-    node_address target_address;      ///< ping_for: where it is
+    std::uint64_t probe = 0;     ///< ping, ack and indirect_ping: which probe
+    node_id target{};            ///< indirect_ping: whom to ping
+    node_address target_address; ///< indirect_ping: where it is
     std::vector<node_record> records;
     std::vector<rumour> rumours;
     std::vector<std::uint64_t> digest; ///< digest_buckets hashes
     std::uint64_t buckets = 0;         ///< summaries: which, as bits
     std::vector<record_summary> summaries;
     std::vector<node_id> want;
-    usual_question usual;
+    baseline_query usual;
     std::vector<load_report> loads;
     quarantine_message quarantine;
 };
--- a/src/node/admin_team.cpp
+++ b/src/node/admin_team.cpp
@@ -21,11 +21,11 @@
 /// How fresh the configuration is, and until when that is enough.
 json::object freshness_json(const node_state& n)
 {
-    const auto age = age_of(n.fresh, uptime_now());
+    const auto age = config_age_bound(n.fresh, uptime_now());
     json::object o{
         {"served", can_verify_keys(n)},
         {"version", static_cast<std::int64_t>(n.fresh.in_force)},
-        {"proven_version", static_cast<std::int64_t>(n.fresh.proven.version)},
+        {"proven_version", static_cast<std::int64_t>(n.fresh.proof.version)},
         {"bound_ms", n.settings.hosted.revoke_bound / us_per_ms}};
     if (age)
         o["age_ms"] = *age / us_per_ms;
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -92,7 +92,7 @@
     w.boot = a.boot;
     w.health.baseline = baseline;
     w.health.cold_start_until =
-        mono_now() + (a.sequence != 0 ? a.cold_for : n.balance.ramp);
+        mono_now() + (a.sequence != 0 ? a.warm_up_time : n.balance.ramp);
     refresh_ejection_policies(n);
     n.events.write(event_id::worker_announced, a.name,
                    "service=" + a.service +
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -111,7 +111,7 @@
     caf::anon_send(running_->members, self_message{std::move(r)});
 }
 
-void control::send_usual(std::uint32_t ip, std::uint16_t port, usual_question q,
+void control::send_usual(std::uint32_t ip, std::uint16_t port, baseline_query q,
                          bool answer)
 {
     caf::anon_send(running_->members,
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -34,7 +34,7 @@
     std::function<void(std::shared_ptr<const fleet_config>)> config_ready;
     std::function<void(const freshness_proof&, const store_clock&)> proof_heard;
     std::function<void(bool reachable)> store_state;
-    std::function<void(std::uint32_t ip, std::uint16_t port, usual_question,
+    std::function<void(std::uint32_t ip, std::uint16_t port, baseline_query,
                        bool answer)>
         usual;
     std::function<void(std::vector<load_report>)> loads;
@@ -85,7 +85,7 @@
     void leave();
 
     /// Sends a question about a service, or an answer to one.
-    void send_usual(std::uint32_t ip, std::uint16_t port, usual_question q,
+    void send_usual(std::uint32_t ip, std::uint16_t port, baseline_query q,
                     bool answer);
 
 private:
--- a/src/node/control_type.hpp
+++ b/src/node/control_type.hpp
@@ -29,7 +29,7 @@
 {
     std::uint32_t ip = 0;
     std::uint16_t port = 0;
-    usual_question question;
+    baseline_query question;
     bool answer = false;
 };
 
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -184,12 +184,12 @@
     if (proven == n.proven)
         return;
     n.proven = proven;
-    const auto age = age_of(n.fresh, uptime_now());
+    const auto age = config_age_bound(n.fresh, uptime_now());
     n.events.write(
         proven ? event_id::freshness_proven : event_id::freshness_lost,
         n.settings.name,
         "version=" + std::to_string(n.fresh.in_force) +
-            " proven_version=" + std::to_string(n.fresh.proven.version) +
+            " proven_version=" + std::to_string(n.fresh.proof.version) +
             " age_ms=" + (age ? std::to_string(*age / us_per_ms) : "none"));
 }
 
@@ -243,8 +243,8 @@
             : std::nullopt;
     const bool no_owner = !answer;
     if (no_owner)
-        answer = take_own_part(n.own_parts, r.team_hash, r.limit,
-                               make_allowance_policy(n), mono_now());
+        answer = take_fallback_allowance(n.own_parts, r.team_hash, r.limit,
+                                         make_allowance_policy(n), mono_now());
     if (answer->granted) {
         wait_for(n, answer->wait, y);
         return std::nullopt;
--- a/src/node/feed_actor.cpp
+++ b/src/node/feed_actor.cpp
@@ -64,7 +64,7 @@
     note_store(*k.context, k.reachable, found.has_value(),
                "error=" + std::string(name_of(store_error_names, last)));
     if (!found) {
-        k.pause = reader_pause(k.pause, k.ranked);
+        k.pause = reader_backoff(k.pause, k.ranked);
         return;
     }
     k.pause = 0;
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -34,7 +34,7 @@
 {
     std::vector<path_complaint> complaints;
     for (const auto& [id, v] : n.view.nodes) {
-        for (const auto about : v.record.complaints) {
+        for (const auto about : v.record.avoided_peers) {
             complaints.push_back(
                 {id, static_cast<std::uint32_t>(v.record.centre), about});
         }
@@ -94,7 +94,7 @@
         return;
     n.config = std::move(c);
     n.config_at = mono_now();
-    note_in_force(n.fresh, n.config->version);
+    set_version_in_force(n.fresh, n.config->version);
     n.metrics.config_unclear->Increment(
         static_cast<double>(n.config->notes.size()));
     n.service_places.clear();
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -150,10 +150,10 @@
     auto& a = n.asks[query_id];
     a.about = w.id;
     add_local_reports(n, w, s, a.reports);
-    usual_question q;
-    q.ticket = query_id;
+    baseline_query q;
+    q.correlation_id = query_id;
     q.service = service_of(w.service);
-    q.back = now - s.since;
+    q.lookback = now - s.since;
     q.centre = scope_centre(n, s.scope);
     const auto peers = peers_of(n, q.service);
     a.awaited = peers.size();
@@ -253,7 +253,8 @@
         l.service = service_of(w.service);
         l.load = gate_load(n.door, id);
         l.work = gate_mean_duration(n.door, id);
-        l.doubt = percent_of(gate_failure_probability(n.door, id, now));
+        l.failure_probability =
+            percent_of(gate_failure_probability(n.door, id, now));
         l.suspect = is_suspect(n.door, id, now);
         if (!is_load_update_due(l, w.told, w.slots, now - w.told_at,
                                 n.load_news))
@@ -298,10 +299,10 @@
 }
 
 void answer_baseline_query(node_state& n, std::uint32_t ip, std::uint16_t port,
-                           const usual_question& q)
+                           const baseline_query& q)
 {
     auto reply = q;
-    const auto since = mono_now() - std::max<span_us>(0, q.back);
+    const auto since = mono_now() - std::max<span_us>(0, q.lookback);
     const auto centre =
         n.source_index.find(static_cast<std::uint32_t>(q.centre));
     const auto source =
@@ -317,16 +318,16 @@
     n.control.send_usual(ip, port, reply, true);
 }
 
-void handle_baseline_response(node_state& n, const usual_question& q)
+void handle_baseline_response(node_state& n, const baseline_query& q)
 {
-    const auto it = n.asks.find(q.ticket);
+    const auto it = n.asks.find(q.correlation_id);
     if (it == n.asks.end() || it->second.awaited == 0)
         return;
     for (const auto& r : q.reports)
         it->second.reports.push_back(
             {r.seen, r.failed, r.above, r.burst_us, r.source_share});
     if (--it->second.awaited == 0)
-        decide_ejection(n, q.ticket);
+        decide_ejection(n, q.correlation_id);
 }
 
 void refresh_ejection_policies(node_state& n)
--- a/src/node/health_driver.hpp
+++ b/src/node/health_driver.hpp
@@ -33,10 +33,10 @@
 
 /// Answers a peer's query for the statistics of a service's backend servers.
 void answer_baseline_query(node_state& n, std::uint32_t ip, std::uint16_t port,
-                           const usual_question& q);
+                           const baseline_query& q);
 
 /// Handles a reply; the last one awaited triggers the ejection decision.
-void handle_baseline_response(node_state& n, const usual_question& q);
+void handle_baseline_response(node_state& n, const baseline_query& q);
 
 /// Derives the ejection thresholds from the configuration in force.
 void refresh_ejection_policies(node_state& n);
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -49,7 +49,8 @@
 {
     auto* w = current_worker(n);
     if (w == nullptr || w->name != a.name ||
-        !is_start_of_answered(a.boot, w->boot, w->answered_ms, wall_ms_now()))
+        !is_start_of_probed_process(a.boot, w->boot, w->answered_ms,
+                                    wall_ms_now()))
         return false;
     n.events.write(event_id::worker_start_learned, a.name,
                    "start=" + std::to_string(a.boot) +
@@ -72,7 +73,7 @@
 {
     const auto& known = n.hosted.known.names;
     const auto it = known.find(p.name);
-    if (p.name != a.name || (it != known.end() && it->second.left) ||
+    if (p.name != a.name || (it != known.end() && it->second.departed) ||
         !is_service_known(n, a.service))
         return false;
     return p.healthy ||
@@ -162,19 +163,19 @@
 void handle_check_in(node_state& n, const announcement& a)
 {
     auto& h = n.hosted;
-    const auto step = incarnation_hear(h.known, a, mono_now(), wall_ms_now());
+    const auto step = apply_announcement(h.known, a, mono_now(), wall_ms_now());
     count(*n.metrics.check_ins, "fate",
-          std::string(name_of(incarnation_step_names, step)));
+          std::string(name_of(announcement_status_names, step)));
     switch (step) {
-    case incarnation_step::stale:
+    case announcement_status::stale:
         return;
-    case incarnation_step::stranger:
+    case announcement_status::unidentified:
         n.events.write(event_id::check_in_refused, a.name,
                        "reason=no-start-time");
         return;
-    case incarnation_step::gone:
+    case announcement_status::gone:
         return drain_incarnation(n, a);
-    case incarnation_step::current:
+    case announcement_status::current:
         break;
     }
     const auto* w = current_worker(n);
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -52,7 +52,7 @@
     case member_change_kind::dead:
         events.write(event_id::node_dead, name, "");
         break;
-    case member_change_kind::clash:
+    case member_change_kind::identity_conflict:
         events.write(event_id::identity_clash, name, "");
         break;
     case member_change_kind::forgotten:
@@ -124,7 +124,7 @@
 void tell_proof(member_keeper& k)
 {
     const auto& t = k.table;
-    if (t.proof.at == k.proof_told.at && t.clock.lead == k.clock_told.lead)
+    if (t.proof.at == k.proof_told.at && t.clock.offset == k.clock_told.offset)
         return;
     k.proof_told = t.proof;
     k.clock_told = t.clock;
@@ -144,10 +144,10 @@
     k.context->sinks.datagram_counted(last, d.bytes.size());
     if (!m)
         return;
-    if (m->kind == gossip_kind::ask_usual ||
-        m->kind == gossip_kind::tell_usual) {
-        k.context->sinks.usual(d.ip, d.port, m->usual,
-                               m->kind == gossip_kind::tell_usual);
+    if (m->kind == gossip_kind::baseline_request ||
+        m->kind == gossip_kind::baseline_response) {
+        k.context->sinks.usual(d.ip, d.port, m->baseline,
+                               m->kind == gossip_kind::baseline_response);
     }
     if (!m->loads.empty())
         k.context->sinks.loads(m->loads);
@@ -185,9 +185,9 @@
 
 void send_usual(member_keeper& k, const usual_message& u)
 {
-    auto m = make_message(k.table, u.answer ? gossip_kind::tell_usual
-                                            : gossip_kind::ask_usual);
-    m.usual = u.question;
+    auto m = make_message(k.table, u.answer ? gossip_kind::baseline_response
+                                            : gossip_kind::baseline_request);
+    m.baseline = u.question;
     send_all(k, {{u.ip, u.port, std::move(m)}});
 }
 
@@ -224,14 +224,14 @@
         [=](const loads_message& m) { tell_loads(*k, m.loads); },
         [=](const crashes_message& m) { send_crashes(*k, m); },
         [=](const version_message& m) {
-            member_hear_config(k->table, m.version, m.manifest);
+            member_observe_config(k->table, m.version, m.manifest);
             pass_changes(self, *k);
         },
         [=](const store_time_message& m) {
-            hear_store_time(k->table.clock, m.said, m.sent);
+            update_store_clock(k->table.clock, m.said, m.sent);
         },
         [=](const proof_message& m) {
-            member_hear_proof(k->table, m.proof);
+            member_observe_proof(k->table, m.proof);
             tell_proof(*k);
         },
         [=](const contacts_message& m) {
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -176,14 +176,14 @@
                                const store_clock& clock) {
         asio::post(ctx, [&p, proof, clock] {
             p.state.fresh.clock = clock;
-            hear_proof(p.state.fresh, proof);
+            apply_proof(p.state.fresh, proof);
         });
     };
     k.store_state = [&p, &ctx](bool reachable) {
         asio::post(ctx,
                    [&p, reachable] { p.state.store_reachable = reachable; });
     };
-    k.usual = [&p, &ctx](std::uint32_t ip, std::uint16_t port, usual_question q,
+    k.usual = [&p, &ctx](std::uint32_t ip, std::uint16_t port, baseline_query q,
                          bool answer) {
         asio::post(ctx, [&p, ip, port, q = std::move(q), answer] {
             if (answer)
@@ -222,7 +222,7 @@
         p.slow_state->tell_loads(std::move(loads));
     };
     h.send_usual = [&p](std::uint32_t ip, std::uint16_t port,
-                        const usual_question& q, bool answer) {
+                        const baseline_query& q, bool answer) {
         p.slow_state->send_usual(ip, port, q, answer);
     };
     h.send_crashes = [&p](std::vector<node_address> to,
@@ -441,9 +441,9 @@
     // The platform may change the file and send no signal.
     if (p.settings_file.changed())
         reload_settings(p.settings, n);
-    forget_idle_allowances(n.teams, local_limit_policy(), now);
-    forget_idle_allowances(n.allowances, make_allowance_policy(n), now);
-    forget_idle_allowances(n.own_parts, make_allowance_policy(n), now);
+    evict_idle_allowances(n.teams, local_limit_policy(), now);
+    evict_idle_allowances(n.allowances, make_allowance_policy(n), now);
+    evict_idle_allowances(n.own_parts, make_allowance_policy(n), now);
     quarantine_expire(n.quarantine, uptime_now());
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -30,7 +30,7 @@
     r.slots = static_cast<std::uint16_t>(w.slots);
     r.severity = static_cast<std::uint8_t>(shown);
     r.draining = w.draining || w.drained_here;
-    r.doubt = static_cast<std::uint8_t>(
+    r.failure_probability = static_cast<std::uint8_t>(
         percent_of(gate_failure_probability(n.door, w.id, now)));
     r.scope = w.health.state == ejection_state::ejected
                   ? scope_centre(n, w.health.scope)
@@ -74,11 +74,11 @@
     n.self.workers.clear();
     for (auto& [id, w] : n.workers)
         n.self.workers.push_back(record_of(n, w, now));
-    n.self.complaints.clear();
+    n.self.avoided_peers.clear();
     if (!n.paths.local_fault) {
         for (const auto& [id, p] : n.paths.paths) {
             if (p.avoided)
-                n.self.complaints.push_back(id);
+                n.self.avoided_peers.push_back(id);
         }
     }
     n.self.leaving = n.stopping;
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -112,7 +112,7 @@
     std::function<void(node_record)> update_self;
     std::function<void(std::vector<load_report>)> tell_loads;
     std::function<void(std::uint32_t ip, std::uint16_t port,
-                       const usual_question&, bool answer)>
+                       const baseline_query&, bool answer)>
         send_usual;
     std::function<void(std::vector<node_address> to,
                        std::vector<quarantine_message>)>
@@ -163,10 +163,10 @@
     freshness fresh;                     ///< of the configuration in force
     bool proven = true;                  ///< it is fresh enough; for the log
     mono_us members_changed_at = 0;      ///< a node came, went or died
-    allowance_book allowances;           ///< of teams that have their home here
+    allowance_table allowances;          ///< of teams that have their home here
     /// Nodes that did not answer as a team's home, and when.
     std::unordered_map<node_id, mono_us> silent_homes;
-    allowance_book own_parts; ///< of teams whose homes cannot be reached
+    allowance_table own_parts; ///< of teams whose homes cannot be reached
     bool store_reachable = false;
     mono_us config_at = 0; ///< when the configuration came into force
     std::shared_ptr<const fleet_config> config; ///< null until there is one
@@ -199,7 +199,7 @@
     std::unordered_map<std::string, retry_budget> budgets;
     std::unordered_map<std::string, int> in_flight_by_service;
     int in_flight = 0;
-    allowance_book teams; ///< where teams have no keys
+    allowance_table teams; ///< where teams have no keys
     /// Where the next request of a route falls among its parts, by route.
     std::unordered_map<std::string, double> split_places;
 };
--- a/src/team/allowance_cmd.cpp
+++ b/src/team/allowance_cmd.cpp
@@ -48,7 +48,7 @@
 }
 
 /// Count of a team; null when there is no room for one more.
-team_count* find_count(allowance_book& b, std::uint64_t team,
+team_count* find_count(allowance_table& b, std::uint64_t team,
                        const team_limit& limit, double first,
                        const allowance_policy& p, mono_us now)
 {
@@ -56,7 +56,7 @@
     if (it != b.teams.end())
         return &it->second;
     if (b.teams.size() >= b.most)
-        forget_idle_allowances(b, p, now);
+        evict_idle_allowances(b, p, now);
     if (b.teams.size() >= b.most)
         return nullptr;
     return &b.teams.emplace(team, team_count{limit, first, now, 0})
@@ -94,7 +94,7 @@
 
 } // namespace
 
-allowance_answer take_allowance(allowance_book& b, std::uint64_t team,
+allowance_answer take_allowance(allowance_table& b, std::uint64_t team,
                                 const team_limit& limit, span_us patience,
                                 const allowance_policy& p, mono_us now)
 {
@@ -109,9 +109,9 @@
     return take_token(*c, max_tokens(c->limit, p), patience, now);
 }
 
-allowance_answer take_own_part(allowance_book& b, std::uint64_t team,
-                               const team_limit& limit,
-                               const allowance_policy& p, mono_us now)
+allowance_answer take_fallback_allowance(allowance_table& b, std::uint64_t team,
+                                         const team_limit& limit,
+                                         const allowance_policy& p, mono_us now)
 {
     if (limit.rate <= 0)
         return {true, 0};
@@ -126,8 +126,8 @@
     return take_token(*c, std::max(1.0, part.burst), 0, now);
 }
 
-void forget_idle_allowances(allowance_book& b, const allowance_policy& p,
-                            mono_us now)
+void evict_idle_allowances(allowance_table& b, const allowance_policy& p,
+                           mono_us now)
 {
     for (auto it = b.teams.begin(); it != b.teams.end();) {
         auto& c = it->second;
--- a/src/team/allowance_type.hpp
+++ b/src/team/allowance_type.hpp
@@ -43,7 +43,7 @@
 };
 
 /// Counts of the teams that asked lately. Invariant: at most `most`.
-struct allowance_book
+struct allowance_table
 {
     std::size_t most = 100000;
     std::unordered_map<std::uint64_t, team_count> teams; ///< by name's hash
@@ -60,17 +60,18 @@
 /// Takes leave for one request at the team's home.
 /// @param patience that the request has: callers come in clumps, and one that
 /// is served a little later is served, where one that is refused may not return
-allowance_answer take_allowance(allowance_book& b, std::uint64_t team,
+allowance_answer take_allowance(allowance_table& b, std::uint64_t team,
                                 const team_limit& limit, span_us patience,
                                 const allowance_policy& p, mono_us now);
 
 /// Takes leave from this node's own part, for want of a home.
-allowance_answer take_own_part(allowance_book& b, std::uint64_t team,
-                               const team_limit& limit,
-                               const allowance_policy& p, mono_us now);
+allowance_answer take_fallback_allowance(allowance_table& b, std::uint64_t team,
+                                         const team_limit& limit,
+                                         const allowance_policy& p,
+                                         mono_us now);
 
 /// Forgets teams whose count is full again: a new one would be full too.
-void forget_idle_allowances(allowance_book& b, const allowance_policy& p,
-                            mono_us now);
+void evict_idle_allowances(allowance_table& b, const allowance_policy& p,
+                           mono_us now);
 
 } // namespace jasminetray
--- a/src/team/freshness_type.hpp
+++ b/src/team/freshness_type.hpp
@@ -47,20 +47,21 @@
 };
 
 /// The store said its time in answer to what was sent at `sent`.
-void hear_store_time(store_clock& c, store_us said, mono_us sent);
+void update_store_clock(store_clock& c, store_us said, mono_us sent);
 
 /// The store's time now, at the latest; nothing when it is not known.
-std::optional<store_us> latest_store_time(const store_clock& c, mono_us now);
+std::optional<store_us> store_time_upper_bound(const store_clock& c,
+                                               mono_us now);
 
 /// Takes a proof in.
-void hear_proof(freshness& f, const freshness_proof& p);
+void apply_proof(freshness& f, const freshness_proof& p);
 
 /// A version came into force.
-void note_in_force(freshness& f, std::uint64_t version);
+void set_version_in_force(freshness& f, std::uint64_t version);
 
 /// How long ago the configuration in force was the newest, at the most;
 /// nothing without a proof.
-std::optional<span_us> age_of(const freshness& f, mono_us now);
+std::optional<span_us> config_age_bound(const freshness& f, mono_us now);
 
 /// Whether keyed requests may be served.
 /// @param bound from the moment at which a key's removal is acknowledged, for
--- a/src/team/key_table.cpp
+++ b/src/team/key_table.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-bool is_key_usable(std::string_view key)
+bool is_valid_key(std::string_view key)
 {
     constexpr char first_visible = '!';
     constexpr char last_visible = '~';
@@ -38,7 +38,7 @@
            });
 }
 
-std::optional<key_table> make_key_table(const std::vector<given_key>& keys,
+std::optional<key_table> make_key_table(const std::vector<configured_key>& keys,
                                         std::uint32_t& shared)
 {
     key_table t;
@@ -65,7 +65,7 @@
 
 std::optional<std::uint32_t> find_key(const key_table& t, std::string_view key)
 {
-    if (!is_key_usable(key))
+    if (!is_valid_key(key))
         return std::nullopt;
     const key_entry wanted{hash_key(t, key), 0};
     const auto it = std::lower_bound(t.entries.begin(), t.entries.end(), wanted,
--- a/src/team/key_table.hpp
+++ b/src/team/key_table.hpp
@@ -16,7 +16,7 @@
 constexpr std::size_t max_key_bytes = 256; ///< no team needs a longer one
 
 /// A key as it was given, with its team's place.
-struct given_key
+struct configured_key
 {
     std::string key;
     std::uint32_t team = 0;
@@ -38,13 +38,13 @@
 };
 
 /// Whether callers can show this key: not empty, not overlong, visible ASCII.
-bool is_key_usable(std::string_view key);
+bool is_valid_key(std::string_view key);
 
 /// Makes a table.
 /// @param shared first key that two teams hold, as the place of one of them
 /// @return nothing when two teams hold one key: whose work it would be is not
 /// known
-std::optional<key_table> make_key_table(const std::vector<given_key>& keys,
+std::optional<key_table> make_key_table(const std::vector<configured_key>& keys,
                                         std::uint32_t& shared);
 
 /// Place of the team that holds a key; nothing when nobody does.
--- a/src/wire/wire_func.cpp
+++ b/src/wire/wire_func.cpp
@@ -91,19 +91,19 @@
         workers[k].setScope(static_cast<std::uint32_t>(w.scope));
         workers[k].setSlots(w.slots);
         workers[k].setSeverity(w.severity);
-        workers[k].setDoubt(w.doubt);
+        workers[k].setDoubt(w.failure_probability);
         workers[k].setDraining(w.draining);
     }
     auto complaints =
-        b.initComplaints(static_cast<unsigned>(n.complaints.size()));
+        b.initComplaints(static_cast<unsigned>(n.avoided_peers.size()));
     for (unsigned k = 0; k < complaints.size(); ++k)
-        complaints.set(k, static_cast<std::uint64_t>(n.complaints[k]));
+        complaints.set(k, static_cast<std::uint64_t>(n.avoided_peers[k]));
 }
 
 bool get_node(wire::Node::Reader r, node_record& n)
 {
     if (r.getWorkers().size() > max_workers ||
-        r.getComplaints().size() > max_complaints)
+        r.getComplaints().size() > max_avoided_peers)
         return false;
     const auto s = get_summary(r.getSummary());
     n.id = s.id;
@@ -122,7 +122,7 @@
                              static_cast<centre_id>(w.getScope())});
     }
     for (const auto c : r.getComplaints())
-        n.complaints.push_back(static_cast<node_id>(c));
+        n.avoided_peers.push_back(static_cast<node_id>(c));
     return true;
 }
 
@@ -136,7 +136,7 @@
     b.setHundredths(static_cast<std::uint16_t>(
         std::clamp(load_scale * l.load, 0.0, max_load)));
     b.setWorkMs(static_cast<std::uint32_t>(l.work / us_per_ms));
-    b.setDoubt(static_cast<std::uint8_t>(l.doubt));
+    b.setDoubt(static_cast<std::uint8_t>(l.failure_probability));
     b.setSuspect(l.suspect);
 }
 
@@ -204,19 +204,20 @@
     auto sums = b.initSummaries(static_cast<unsigned>(m.summaries.size()));
     for (unsigned k = 0; k < sums.size(); ++k)
         put_summary(sums[k], m.summaries[k]);
-    auto want = b.initWant(static_cast<unsigned>(m.want.size()));
+    auto want = b.initWant(static_cast<unsigned>(m.requested_records.size()));
     for (unsigned k = 0; k < want.size(); ++k)
-        want.set(k, static_cast<std::uint64_t>(m.want[k]));
+        want.set(k, static_cast<std::uint64_t>(m.requested_records[k]));
     auto loads = b.initLoads(static_cast<unsigned>(m.loads.size()));
     for (unsigned k = 0; k < loads.size(); ++k)
         put_load(loads[k], m.loads[k]);
-    auto reports = b.initReports(static_cast<unsigned>(m.usual.reports.size()));
+    auto reports =
+        b.initReports(static_cast<unsigned>(m.baseline.reports.size()));
     for (unsigned k = 0; k < reports.size(); ++k) {
-        reports[k].setSeen(m.usual.reports[k].seen);
-        reports[k].setFailed(m.usual.reports[k].failed);
-        reports[k].setAbove(m.usual.reports[k].above);
-        reports[k].setBurstUs(m.usual.reports[k].burst_us);
-        reports[k].setSourceShare(m.usual.reports[k].source_share);
+        reports[k].setSeen(m.baseline.reports[k].seen);
+        reports[k].setFailed(m.baseline.reports[k].failed);
+        reports[k].setAbove(m.baseline.reports[k].above);
+        reports[k].setBurstUs(m.baseline.reports[k].burst_us);
+        reports[k].setSourceShare(m.baseline.reports[k].source_share);
     }
 }
 
@@ -239,12 +240,12 @@
     for (const auto s : r.getSummaries())
         m.summaries.push_back(get_summary(s));
     for (const auto id : r.getWant())
-        m.want.push_back(static_cast<node_id>(id));
+        m.requested_records.push_back(static_cast<node_id>(id));
     for (const auto x : r.getLoads())
         m.loads.push_back(get_load(x));
     for (const auto x : r.getReports())
-        m.usual.reports.push_back({x.getSeen(), x.getFailed(), x.getAbove(),
-                                   x.getBurstUs(), x.getSourceShare()});
+        m.baseline.reports.push_back({x.getSeen(), x.getFailed(), x.getAbove(),
+                                      x.getBurstUs(), x.getSourceShare()});
     return get_quarantine(r, m.quarantine);
 }
 
@@ -264,10 +265,10 @@
     m.target = static_cast<node_id>(r.getTarget());
     m.target_address = get_address(r.getTargetAddress());
     m.buckets = r.getBuckets();
-    m.usual.ticket = r.getTicket();
-    m.usual.service = static_cast<service_id>(r.getService());
-    m.usual.back = r.getBack();
-    m.usual.centre = static_cast<centre_id>(r.getAbout());
+    m.baseline.correlation_id = r.getTicket();
+    m.baseline.service = static_cast<service_id>(r.getService());
+    m.baseline.lookback = r.getBack();
+    m.baseline.centre = static_cast<centre_id>(r.getAbout());
     return get_lists(r, m);
 }
 
@@ -308,13 +309,13 @@
     b.setStoreTime(m.store_time);
     b.setProbe(m.probe);
     b.setTarget(static_cast<std::uint64_t>(m.target));
-    if (m.kind == gossip_kind::ping_for)
+    if (m.kind == gossip_kind::indirect_ping)
         put_address(b.initTargetAddress(), m.target_address);
     b.setBuckets(m.buckets);
-    b.setTicket(m.usual.ticket);
-    b.setService(static_cast<std::uint64_t>(m.usual.service));
-    b.setBack(m.usual.back);
-    b.setAbout(static_cast<std::uint32_t>(m.usual.centre));
+    b.setTicket(m.baseline.correlation_id);
+    b.setService(static_cast<std::uint64_t>(m.baseline.service));
+    b.setBack(m.baseline.lookback);
+    b.setAbout(static_cast<std::uint32_t>(m.baseline.centre));
     put_lists(b, m);
     put_quarantine(b, m.quarantine);
     kj::VectorOutputStream stream;
--- a/test/fuzz_frame.hpp
+++ b/test/fuzz_frame.hpp
@@ -25,8 +25,8 @@
 };
 
 /// Notes a broken property with the length of its sequence; then fails.
-inline void note_broken(fuzz_result& r, std::size_t length,
-                        std::chrono::steady_clock::time_point began)
+inline void record_failure(fuzz_result& r, std::size_t length,
+                           std::chrono::steady_clock::time_point began)
 {
     if (!r.failed) {
         r.failed = true;
@@ -49,7 +49,8 @@
 }
 
 /// Prints the last line; gives the exit code.
-inline int end_fuzz(const std::string& name, bool passed, const fuzz_result& r)
+inline int finish_fuzz(const std::string& name, bool passed,
+                       const fuzz_result& r)
 {
     std::cout << name << ": seed=" << FLAGS_seed
               << " sequences=" << FLAGS_sequences
--- a/test/fuzz_freshness.cpp
+++ b/test/fuzz_freshness.cpp
@@ -121,7 +121,8 @@
         now += delay() / 4;
         const auto best = f.awaited.at > f.proven.at ? f.awaited : f.proven;
         const auto time =
-            jt::latest_store_time(f.clock, clock_of(all[from])).value_or(0);
+            jt::store_time_upper_bound(f.clock, clock_of(all[from]))
+                .value_or(0);
         on_way.push_back(
             {to, now + delay(), any(3) == 0, f.in_force, best, time, asked});
     }
@@ -130,15 +131,15 @@
     {
         auto& n = all[m.to];
         if (m.store_time != 0)
-            jt::hear_store_time(n.fresh.clock, m.store_time,
-                                on.sent ? m.sent : clock_of(n));
+            jt::update_store_clock(n.fresh.clock, m.store_time,
+                                   on.sent ? m.sent : clock_of(n));
         if (m.document)
-            jt::note_in_force(n.fresh, m.in_force);
+            jt::set_version_in_force(n.fresh, m.in_force);
         auto proof = m.proof;
         if (!on.version)
             proof.version = std::min(proof.version, n.fresh.in_force);
         if (proof.at != 0)
-            jt::hear_proof(n.fresh, proof);
+            jt::apply_proof(n.fresh, proof);
     }
 
     void pass_time()
@@ -228,9 +229,9 @@
             w.step();
             served += w.served();
             if (w.is_broken())
-                jt::note_broken(result, static_cast<std::size_t>(k), began);
+                jt::record_failure(result, static_cast<std::size_t>(k), began);
             RC_ASSERT(!w.is_broken());
         }
     });
-    return jt::end_fuzz("fuzz_freshness", passed && served > 0, result);
+    return jt::finish_fuzz("fuzz_freshness", passed && served > 0, result);
 }
--- a/test/fuzz_incarnation.cpp
+++ b/test/fuzz_incarnation.cpp
@@ -102,15 +102,15 @@
 
     void hear(const late_word& w)
     {
-        const auto step = jt::incarnation_hear(
+        const auto step = jt::apply_announcement(
             table, w.word, now, static_cast<std::uint64_t>(wall_ms));
         judge(w, step);
     }
 
-    void judge(const late_word& w, jt::incarnation_step step)
+    void judge(const late_word& w, jt::announcement_status step)
     {
         const auto& a = w.word;
-        const bool current = step == jt::incarnation_step::current;
+        const bool current = step == jt::announcement_status::current;
         if (current && a.boot == 0 && dated.count(a.name) != 0)
             broken = "a word of nobody's was believed";
         if (w.forged)
@@ -120,7 +120,7 @@
         if (current && told.count(w.speaker) != 0 &&
             a.sequence <= told[w.speaker])
             broken = "a late announcement was taken for a new one";
-        const bool taken = current || step == jt::incarnation_step::gone;
+        const bool taken = current || step == jt::announcement_status::gone;
         // A living one that is heard of is not touched by the dead. A first
         // word of a dead one that started later by a clock which stepped back
         // since cannot be told from a restart; settle() shows that it heals.
@@ -140,14 +140,14 @@
             p.undated = p.undated || (p.name == a.name && a.leaving);
     }
 
-    void note_taken(const late_word& w, jt::incarnation_step step)
+    void note_taken(const late_word& w, jt::announcement_status step)
     {
         const auto& a = w.word;
-        if (step == jt::incarnation_step::gone)
+        if (step == jt::announcement_status::gone)
             left.insert(w.speaker);
-        if (step == jt::incarnation_step::current)
+        if (step == jt::announcement_status::current)
             told[w.speaker] = a.sequence;
-        if (step == jt::incarnation_step::stale)
+        if (step == jt::announcement_status::stale)
             return;
         dated[a.name] = now;
         if (is_living(w.speaker))
@@ -206,7 +206,7 @@
         ++s.commands;
         apply_to(s.vm);
         if (!s.vm.broken.empty())
-            jt::note_broken(result, s.commands, began);
+            jt::record_failure(result, s.commands, began);
         RC_ASSERT(s.vm.broken == "");
     }
 
@@ -299,5 +299,5 @@
             rc::state::check(no_model{}, s,
                              rc::state::gen::execOneOfWithArgs<vm_command>());
         });
-    return jt::end_fuzz("fuzz_incarnation", passed, result);
+    return jt::finish_fuzz("fuzz_incarnation", passed, result);
 }
--- a/test/fuzz_member.cpp
+++ b/test/fuzz_member.cpp
@@ -151,7 +151,7 @@
     jt::store_error last{};
     const auto head = jt::read_head(jt::make_fake_store(w.store), last);
     if (head)
-        jt::member_hear_config(x.table, head->version, head->manifest);
+        jt::member_observe_config(x.table, head->version, head->manifest);
 }
 
 void run_steps(member_world& w, int steps)
@@ -357,7 +357,7 @@
         if (what.empty())
             what = check_history(w);
         if (!what.empty())
-            jt::note_broken(result, w.commands, began);
+            jt::record_failure(result, w.commands, began);
         RC_ASSERT(what == "");
     }
 
@@ -383,5 +383,5 @@
         rc::state::check(member_model{}, w,
                          rc::state::gen::execOneOfWithArgs<member_command>());
     });
-    return jt::end_fuzz("fuzz_member", passed, result);
+    return jt::finish_fuzz("fuzz_member", passed, result);
 }
--- a/test/fuzz_path.cpp
+++ b/test/fuzz_path.cpp
@@ -48,7 +48,7 @@
         apply_to(s.path);
         const auto what = s.path.violated_property();
         if (!what.empty())
-            jt::note_broken(result, s.commands, began);
+            jt::record_failure(result, s.commands, began);
         RC_ASSERT(what == "");
     }
 
@@ -121,5 +121,5 @@
         rc::state::check(path_model{}, s,
                          rc::state::gen::execOneOfWithArgs<path_command>());
     });
-    return jt::end_fuzz("fuzz_path", passed, result);
+    return jt::finish_fuzz("fuzz_path", passed, result);
 }
--- a/test/fuzz_verdict.cpp
+++ b/test/fuzz_verdict.cpp
@@ -224,7 +224,7 @@
         if (!same(s.one, s.two))
             what = "two runs differ";
         if (!what.empty())
-            jt::note_broken(result, s.one.commands, began);
+            jt::record_failure(result, s.one.commands, began);
         RC_ASSERT(what == "");
     }
 
@@ -256,5 +256,5 @@
         rc::state::check(outlier_model{}, s,
                          rc::state::gen::execOneOfWithArgs<outlier_command>());
     });
-    return jt::end_fuzz("fuzz_verdict", passed, result);
+    return jt::finish_fuzz("fuzz_verdict", passed, result);
 }
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -179,7 +179,7 @@
 {
     fleet_config c;
     c.teams["a"] = {10, 5};
-    allowance_book b;
+    allowance_table b;
     int passed = 0;
     for (int n = 0; n < 100; ++n)
         passed += take_team_token(b, c, "a", us_per_s) ? 1 : 0;
@@ -192,8 +192,8 @@
 {
     fleet_config c;
     c.default_team_rate = 1;
-    allowance_book b;
-    b.most = 10;
+    allowance_table b;
+    b.max_teams = 10;
     for (int n = 0; n < 100; ++n)
         take_team_token(b, c, "team-" + std::to_string(n), 1000);
     EXPECT_EQ(b.teams.size(), 10U);
--- a/test/test_pages.cpp
+++ b/test/test_pages.cpp
@@ -130,7 +130,7 @@
 gossip_message sample()
 {
     gossip_message m;
-    m.kind = gossip_kind::news;
+    m.kind = gossip_kind::update;
     m.sender = {node_id{3}, 4, 5};
     node_record r;
     r.id = node_id{3};
--- a/test/test_readers.cpp
+++ b/test/test_readers.cpp
@@ -29,7 +29,7 @@
 {
     auto t = make_member_table(record_of(n, centre_id{1}), {}, {});
     gossip_message m;
-    m.kind = gossip_kind::news;
+    m.kind = gossip_kind::update;
     m.centre = centre_id{1};
     for (std::size_t other = 0; other < nodes; ++other) {
         if (other != n)
@@ -115,7 +115,7 @@
     span_us pause = 0;
     for (span_us at = 0; at < outage; at += pause) {
         ++calls;
-        pause = reader_pause(pause, ranked);
+        pause = reader_backoff(pause, ranked);
     }
     return calls;
 }
@@ -128,7 +128,7 @@
     constexpr span_us outage = 30 * us_per_s;
     EXPECT_GE(calls_in(outage, true), 30);
     EXPECT_LE(calls_in(outage, false), 14);
-    EXPECT_LE(reader_pause(60 * us_per_s, true), us_per_s);
+    EXPECT_LE(reader_backoff(60 * us_per_s, true), us_per_s);
 }
 
 TEST(readers, of_another_data_centre_count_for_nothing_here)
--- a/test/test_team.cpp
+++ b/test/test_team.cpp
@@ -14,7 +14,7 @@
 
 constexpr mono_us start = 100 * us_per_s;
 
-key_table table_of(const std::vector<given_key>& keys)
+key_table table_of(const std::vector<configured_key>& keys)
 {
     EXPECT_GE(sodium_init(), 0);
     std::uint32_t shared = 0;
@@ -48,7 +48,7 @@
 {
     constexpr std::uint32_t teams = 330000;
     constexpr std::size_t max_bytes = 20 * 1000 * 1000;
-    std::vector<given_key> keys;
+    std::vector<configured_key> keys;
     for (std::uint32_t n = 0; n < teams; ++n) {
         keys.push_back({"a" + std::to_string(n), n});
         keys.push_back({"b" + std::to_string(n), n});
@@ -62,7 +62,7 @@
 freshness known_clock()
 {
     freshness f;
-    hear_store_time(f.clock, 50 * us_per_s, start);
+    update_store_clock(f.clock, 50 * us_per_s, start);
     return f;
 }
 
@@ -74,8 +74,8 @@
 TEST(freshness, a_node_that_is_cut_off_stops_in_time)
 {
     auto f = known_clock();
-    note_in_force(f, 3);
-    hear_proof(f, {3, 50 * us_per_s});
+    set_version_in_force(f, 3);
+    apply_proof(f, {3, 50 * us_per_s});
     EXPECT_TRUE(is_proven_fresh(f, bound, start + 3 * us_per_s));
     EXPECT_FALSE(is_proven_fresh(f, bound, start + bound));
 }
@@ -85,10 +85,10 @@
 TEST(freshness, a_proof_of_a_later_version_does_not_vouch_for_this_one)
 {
     auto f = known_clock();
-    note_in_force(f, 3);
-    hear_proof(f, {4, 50 * us_per_s});
+    set_version_in_force(f, 3);
+    apply_proof(f, {4, 50 * us_per_s});
     EXPECT_FALSE(is_proven_fresh(f, bound, start));
-    note_in_force(f, 4);
+    set_version_in_force(f, 4);
     EXPECT_TRUE(is_proven_fresh(f, bound, start));
 }
 
@@ -97,9 +97,9 @@
 TEST(freshness, a_proof_grows_old_on_its_way)
 {
     auto f = known_clock();
-    note_in_force(f, 3);
-    hear_proof(f, {3, 44 * us_per_s});
-    EXPECT_EQ(age_of(f, start), 6 * us_per_s);
+    set_version_in_force(f, 3);
+    apply_proof(f, {3, 44 * us_per_s});
+    EXPECT_EQ(config_age_bound(f, start), 6 * us_per_s);
     EXPECT_FALSE(is_proven_fresh(f, bound, start));
 }
 
@@ -108,19 +108,19 @@
 TEST(freshness, a_slow_answer_makes_proofs_look_older)
 {
     freshness f;
-    hear_store_time(f.clock, 52 * us_per_s, start);
-    note_in_force(f, 3);
-    hear_proof(f, {3, 52 * us_per_s});
-    EXPECT_EQ(age_of(f, start + 2 * us_per_s), 2 * us_per_s);
-    hear_store_time(f.clock, 53 * us_per_s, start + 3 * us_per_s);
-    EXPECT_EQ(age_of(f, start + 3 * us_per_s), us_per_s);
+    update_store_clock(f.clock, 52 * us_per_s, start);
+    set_version_in_force(f, 3);
+    apply_proof(f, {3, 52 * us_per_s});
+    EXPECT_EQ(config_age_bound(f, start + 2 * us_per_s), 2 * us_per_s);
+    update_store_clock(f.clock, 53 * us_per_s, start + 3 * us_per_s);
+    EXPECT_EQ(config_age_bound(f, start + 3 * us_per_s), us_per_s);
 }
 
 TEST(freshness, without_a_clock_or_a_proof_nothing_is_proven)
 {
     freshness f;
-    note_in_force(f, 3);
-    hear_proof(f, {3, 50 * us_per_s});
+    set_version_in_force(f, 3);
+    apply_proof(f, {3, 50 * us_per_s});
     EXPECT_FALSE(is_proven_fresh(f, bound, start));
     EXPECT_TRUE(is_proven_fresh(f, 0, start)) << "nothing is promised";
     EXPECT_FALSE(is_proven_fresh(known_clock(), bound, start));
@@ -156,7 +156,7 @@
 {
     const team_limit l{1, 20, 20};
     random_state rng{5};
-    std::vector<allowance_book> homes(2);
+    std::vector<allowance_table> homes(2);
     allowance_policy p{overage, slack, 93, start - 60 * us_per_s};
     std::vector<mono_us> passed;
     std::size_t home = 0;
@@ -182,7 +182,7 @@
 TEST(allowance_of_teams, below_the_rate_none_is_refused)
 {
     const team_limit l{1, 20, 20};
-    allowance_book home;
+    allowance_table home;
     const allowance_policy p{overage, slack, 93, start - 60 * us_per_s};
     for (int clump = 0; clump < 60; ++clump) {
         for (int k = 0; k < 10; ++k) {
@@ -198,7 +198,7 @@
 TEST(allowance_of_teams, a_clump_waits_for_its_turn)
 {
     const team_limit l{1, 20, 10};
-    allowance_book home;
+    allowance_table home;
     const allowance_policy p{0, 0, 93, start - 60 * us_per_s};
     constexpr span_us patience = us_per_s / 2;
     int granted = 0;
@@ -222,12 +222,12 @@
     constexpr std::size_t nodes = 93;
     const team_limit l{1, 40, 40};
     const allowance_policy p{overage, slack, nodes, start};
-    std::vector<allowance_book> all(nodes);
+    std::vector<allowance_table> all(nodes);
     std::vector<mono_us> passed;
     for (mono_us now = start; now < start + 30 * us_per_s;
          now += us_per_s / 10) {
         for (auto& b : all) {
-            if (take_own_part(b, red, l, p, now).granted)
+            if (take_fallback_allowance(b, red, l, p, now).granted)
                 passed.push_back(now);
         }
     }
@@ -241,7 +241,7 @@
 TEST(allowance_of_teams, refused_callers_return_one_by_one)
 {
     const team_limit l{1, 10, 0};
-    allowance_book home;
+    allowance_table home;
     const allowance_policy p{0, 0, 1, start};
     std::vector<span_us> returns;
     for (int k = 0; k < 6; ++k) {
@@ -258,7 +258,7 @@
 // with the former document still asks.
 TEST(allowance_of_teams, the_newest_limit_counts)
 {
-    allowance_book home;
+    allowance_table home;
     const allowance_policy p{0, 0, 1, start - 60 * us_per_s};
     const team_limit former{1, 1000, 1000};
     const team_limit lower{2, 1, 1};
