--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -251,9 +251,9 @@
         return choose_fallback(candidates, r.n.balance, r.tried_workers,
                                mono_now());
     if (!r.pinned_worker && r.n.placing.on)
-        return place(candidates, r.n.placing, r.n.balance,
-                     {r.may_probe, r.route->target_us}, r.tried_workers,
-                     r.n.rng, mono_now());
+        return choose_by_expected_loss(candidates, r.n.placing, r.n.balance,
+                                       {r.may_probe, r.route->target_us},
+                                       r.tried_workers, r.n.rng, mono_now());
     if (!r.pinned_worker)
         return choose_worker(candidates, r.n.balance,
                              r.machine.policy.idempotent, r.tried_workers,
--- a/test/test_estimate.cpp
+++ b/test/test_estimate.cpp
@@ -169,7 +169,7 @@
     const auto decisions = gate_report_outcome(g, backend, true, took, start);
     ASSERT_EQ(decisions.size(), 1U);
     EXPECT_FALSE(decisions[0].start);
-    EXPECT_EQ(decisions[0].why, gate_error::suspected);
+    EXPECT_EQ(decisions[0].refusal, gate_error::suspected);
     EXPECT_EQ(gate_find(g, charge.attempt)->state, gate_state::revoked);
 }
 
@@ -182,7 +182,7 @@
               admission::queued);
     const auto decisions = gate_drain_worker(g, backend, true, start);
     ASSERT_EQ(decisions.size(), 1U);
-    EXPECT_EQ(decisions[0].why, gate_error::draining);
+    EXPECT_EQ(decisions[0].refusal, gate_error::draining);
     EXPECT_FALSE(admit(g, work(3, start, 2 * us_per_s), start, last));
 }
 
@@ -197,7 +197,7 @@
               admission::queued);
     const auto decisions = gate_stop(g, start);
     ASSERT_EQ(decisions.size(), 1U);
-    EXPECT_EQ(decisions[0].why, gate_error::draining);
+    EXPECT_EQ(decisions[0].refusal, gate_error::draining);
     EXPECT_FALSE(decisions[0].start);
     gate_finish(g, running, work_result::answered, us_per_s, start + us_per_s);
     EXPECT_TRUE(gate_advance(g, backend, start + us_per_s).empty());
