--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -78,7 +78,8 @@
 void put_on_wire(member_run& r, const std::vector<outgoing>& out)
 {
     for (const auto& o : out) {
-        r.bytes_out += static_cast<double>(encode(o.message, keys).size());
+        r.bytes_out +=
+            static_cast<double>(encode_message(o.message, keys).size());
         ++r.datagrams;
     }
 }
@@ -86,9 +87,10 @@
 /// A datagram arrives; decoding and MAC are part of the cost.
 void arrive(member_run& r, const gossip_message& m)
 {
-    const auto bytes = encode(m, keys); // the sender's cost, taken out below
+    const auto bytes =
+        encode_message(m, keys); // the sender's cost, taken out below
     wire_error last{};
-    const auto got = decode(bytes, keys, last);
+    const auto got = decode_message(bytes, keys, last);
     r.bytes_in += static_cast<double>(bytes.size());
     put_on_wire(r, member_receive(r.table, *got, 1, 1, r.rng, r.now));
 }
--- a/src/base/id_func.cpp
+++ b/src/base/id_func.cpp
@@ -38,7 +38,7 @@
     if (s.size() < request_length + 2 || s[request_length] != '-')
         return std::nullopt;
     const auto request = parse_request_id(s.substr(0, request_length));
-    const auto count = parse_whole(s.substr(request_length + 1));
+    const auto count = parse_int(s.substr(request_length + 1));
     if (!request || !count || *count < 1 || *count > UINT32_MAX)
         return std::nullopt;
     return attempt_id{*request, static_cast<std::uint32_t>(*count)};
--- a/src/base/random_func.hpp
+++ b/src/base/random_func.hpp
@@ -36,8 +36,8 @@
 /// Some of `from` at random, in random order; all of them when there are no
 /// more than `count`.
 template <typename T>
-std::vector<T> random_some(std::vector<T> from, std::size_t count,
-                           random_state& rng)
+std::vector<T> random_sample(std::vector<T> from, std::size_t count,
+                             random_state& rng)
 {
     std::vector<T> chosen;
     while (!from.empty() && chosen.size() < count) {
--- a/src/base/text_func.cpp
+++ b/src/base/text_func.cpp
@@ -47,12 +47,12 @@
     return parts;
 }
 
-std::optional<std::int64_t> parse_whole(std::string_view s)
+std::optional<std::int64_t> parse_int(std::string_view s)
 {
     return parse_all<std::int64_t>(s);
 }
 
-std::optional<double> parse_real(std::string_view s)
+std::optional<double> parse_double(std::string_view s)
 {
     return parse_all<double>(s);
 }
@@ -88,7 +88,7 @@
     const auto colon = s.rfind(':');
     if (colon == std::string_view::npos || !is_ipv4(s.substr(0, colon)))
         return std::nullopt;
-    const auto port = parse_whole(s.substr(colon + 1));
+    const auto port = parse_int(s.substr(colon + 1));
     if (!port || *port < 0 || *port > 65535)
         return std::nullopt;
     return host_port{std::string(s.substr(0, colon)),
--- a/src/base/text_func.hpp
+++ b/src/base/text_func.hpp
@@ -17,10 +17,10 @@
 std::vector<std::string> split(std::string_view s, char separator);
 
 /// The whole of `s` as a decimal whole number, or nothing.
-std::optional<std::int64_t> parse_whole(std::string_view s);
+std::optional<std::int64_t> parse_int(std::string_view s);
 
 /// The whole of `s` as a decimal number, or nothing.
-std::optional<double> parse_real(std::string_view s);
+std::optional<double> parse_double(std::string_view s);
 
 /// The whole of `s` as up to 16 hex digits, or nothing.
 std::optional<std::uint64_t> parse_hex(std::string_view s);
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -28,7 +28,7 @@
     return !result;
 }
 
-http::request<http::string_body> make_request(const http_call& call)
+http::request<http::string_body> make_request(const http_request& call)
 {
     http::request<http::string_body> q(http::string_to_verb(call.method),
                                        call.target, 11);
@@ -41,9 +41,9 @@
     return q;
 }
 
-http_answer make_answer(const http::response<http::string_body>& r)
+http_response make_answer(const http::response<http::string_body>& r)
 {
-    http_answer a;
+    http_response a;
     a.status = r.result_int();
     a.body = r.body();
     for (const auto& f : r) {
@@ -57,7 +57,8 @@
 
 } // namespace
 
-std::optional<http_answer> call_http(const http_call& call, http_error& last)
+std::optional<http_response> send_http_request(const http_request& call,
+                                               http_error& last)
 {
     asio::io_context ctx;
     beast::tcp_stream stream(ctx);
--- a/src/http/http_client.hpp
+++ b/src/http/http_client.hpp
@@ -24,7 +24,7 @@
     "none", "not-sent", "no-answer"};
 
 /// One call.
-struct http_call
+struct http_request
 {
     host_port to;
     std::string method = "GET";
@@ -35,7 +35,7 @@
 };
 
 /// Its answer.
-struct http_answer
+struct http_response
 {
     unsigned status = 0;
     std::string body;
@@ -43,6 +43,7 @@
 };
 
 /// Makes a call and waits for the answer.
-std::optional<http_answer> call_http(const http_call& call, http_error& last);
+std::optional<http_response> send_http_request(const http_request& call,
+                                               http_error& last);
 
 } // namespace jasminetray
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -332,7 +332,7 @@
     if (!n.dialect.preserve_request_id)
         return r.route->deadline_us;
     const auto ms =
-        parse_whole(header_value(r.message, to_beast_view(n.dialect.deadline)));
+        parse_int(header_value(r.message, to_beast_view(n.dialect.deadline)));
     if (!ms || *ms < 0 || *ms > r.route->deadline_us / us_per_ms)
         return r.route->deadline_us;
     return *ms * us_per_ms;
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -101,8 +101,8 @@
             continue;
         (v.record.centre == n.self.centre ? near : far).push_back(id);
     }
-    auto chosen = random_some(near, max_lenders, n.rng);
-    for (const auto id : random_some(far, max_lenders - chosen.size(), n.rng))
+    auto chosen = random_sample(near, max_lenders, n.rng);
+    for (const auto id : random_sample(far, max_lenders - chosen.size(), n.rng))
         chosen.push_back(id);
     return chosen;
 }
--- a/src/node/feed_actor.cpp
+++ b/src/node/feed_actor.cpp
@@ -48,7 +48,7 @@
     const auto span = (prove ? max_proof_wait : max_wait) - least;
     const auto wait = least + static_cast<span_us>(random_below(
                                   k.rng, static_cast<std::uint64_t>(span)));
-    return store.follow_rows(table, *k.position, wait, last);
+    return store.watch_rows(table, *k.position, wait, last);
 }
 
 void read_next(caf::event_based_actor* self, feed_reader& k,
@@ -73,9 +73,10 @@
         if (r.key == k.context->start.documents.at.key && !r.removed)
             self->send(config, document_message{r.row.value});
     }
-    if (found->told_at && k.context->start.settings.hosted.revoke_bound > 0) {
-        self->send(members, store_time_message{*found->told_at, sent});
-        self->send(config, read_until_message{*found->told_at});
+    if (found->store_time &&
+        k.context->start.settings.hosted.revoke_bound > 0) {
+        self->send(members, store_time_message{*found->store_time, sent});
+        self->send(config, read_until_message{*found->store_time});
     }
 }
 
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -233,7 +233,7 @@
     if (parts.size() != load.size())
         return std::nullopt;
     for (std::size_t k = 0; k < load.size(); ++k) {
-        const auto n = parse_whole(trim(parts[k]));
+        const auto n = parse_int(trim(parts[k]));
         if (!n || *n < 0 || *n > INT32_MAX)
             return std::nullopt;
         load[k] = static_cast<int>(*n);
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -33,8 +33,8 @@
 void send_all(member_keeper& k, const std::vector<outgoing>& out)
 {
     for (const auto& o : out) {
-        k.context->sinks.send_datagram(encode(o.message, k.context->start.keys),
-                                       o.ip, o.port);
+        k.context->sinks.send_datagram(
+            encode_message(o.message, k.context->start.keys), o.ip, o.port);
     }
 }
 
@@ -140,7 +140,7 @@
 void take_datagram(member_keeper& k, const datagram_message& d)
 {
     wire_error last{};
-    const auto m = decode(d.bytes, k.context->start.keys, last);
+    const auto m = decode_message(d.bytes, k.context->start.keys, last);
     k.context->sinks.datagram_counted(last, d.bytes.size());
     if (!m)
         return;
@@ -163,9 +163,9 @@
 {
     auto m = make_message(k.table, gossip_kind::load);
     m.loads = loads;
-    const auto bytes = encode(m, k.context->start.keys);
-    const auto near = random_some(alive_members(k.table, k.table.self.centre),
-                                  max_told, k.rng);
+    const auto bytes = encode_message(m, k.context->start.keys);
+    const auto near = random_sample(alive_members(k.table, k.table.self.centre),
+                                    max_told, k.rng);
     for (const auto* to : near) {
         k.context->sinks.send_datagram(bytes, to->record.address.ip,
                                        to->record.address.gossip_port);
@@ -177,7 +177,7 @@
     auto m = make_message(k.table, gossip_kind::quarantine);
     for (const auto& q : c.messages) {
         m.quarantine = q;
-        const auto bytes = encode(m, k.context->start.keys);
+        const auto bytes = encode_message(m, k.context->start.keys);
         for (const auto& to : c.to)
             k.context->sinks.send_datagram(bytes, to.ip, to.gossip_port);
     }
--- a/src/node/presence_actor.cpp
+++ b/src/node/presence_actor.cpp
@@ -89,8 +89,8 @@
     const auto list = k.context->start.store.list_rows(node_table, last);
     if (!list)
         return false;
-    if (list->told_at)
-        self->send(members, store_time_message{*list->told_at, sent});
+    if (list->store_time)
+        self->send(members, store_time_message{*list->store_time, sent});
     self->send(members, contacts_message{parse_rows(k, *list)});
     return true;
 }
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -161,10 +161,10 @@
     auto due = quarantine_tick(n.quarantine, uptime_now());
     if (!due.push.empty())
         send_messages(
-            n, random_some(alive_nodes(n), n.quarantine.policy.fanout, n.rng),
+            n, random_sample(alive_nodes(n), n.quarantine.policy.fanout, n.rng),
             std::move(due.push));
     if (due.compare)
-        send_messages(n, random_some(alive_nodes(n), 1, n.rng),
+        send_messages(n, random_sample(alive_nodes(n), 1, n.rng),
                       {quarantine_compare(n.quarantine)});
 }
 
--- a/src/quarantine/quarantine_row.cpp
+++ b/src/quarantine/quarantine_row.cpp
@@ -30,7 +30,7 @@
 {
     const auto request = parse_hex(key);
     const auto parts = split(value, ' ');
-    const auto at = parts.empty() ? std::nullopt : parse_whole(parts.front());
+    const auto at = parts.empty() ? std::nullopt : parse_int(parts.front());
     if (!request || !at || *at < 0)
         return std::nullopt;
     const auto then = static_cast<std::uint64_t>(*at);
--- a/src/stand_in/backend_main.cpp
+++ b/src/stand_in/backend_main.cpp
@@ -166,7 +166,7 @@
     }
     ++b.running;
     b.runs << id << std::endl; // flushed: a kill must not lose it
-    const auto deadline = parse_whole(field(q, "x-deadline-ms"));
+    const auto deadline = parse_int(field(q, "x-deadline-ms"));
     double ms = work_ms(b);
     if (sick && b.mode.name == "slow")
         ms *= b.mode.factor;
@@ -255,7 +255,8 @@
             return;
         asio::post(pool, [to, body = announcement(b, port, boot, leaving)] {
             http_error last{};
-            call_http({*to, "POST", "/announce", body, {}, us_per_s / 2}, last);
+            send_http_request(
+                {*to, "POST", "/announce", body, {}, us_per_s / 2}, last);
         });
     }
 };
--- a/src/stand_in/store_state.cpp
+++ b/src/stand_in/store_state.cpp
@@ -151,7 +151,7 @@
                stand_in_response& r)
 {
     auto q = parse_query(target);
-    const auto limit = parse_whole(q[f::limit]);
+    const auto limit = parse_int(q[f::limit]);
     const auto most =
         limit ? std::min(s.page, static_cast<std::size_t>(*limit)) : s.page;
     json::array rows;
@@ -195,9 +195,9 @@
 {
     auto q = parse_query(target);
     const auto after =
-        static_cast<std::uint64_t>(parse_whole(q[f::after]).value_or(0));
+        static_cast<std::uint64_t>(parse_int(q[f::after]).value_or(0));
     const auto wait = std::clamp<std::int64_t>(
-        parse_whole(q[f::wait_ms]).value_or(0), 0, max_wait_ms);
+        parse_int(q[f::wait_ms]).value_or(0), 0, max_wait_ms);
     const auto until =
         std::chrono::steady_clock::now() + std::chrono::milliseconds(wait);
     json::array rows;
--- a/src/store/store_type.hpp
+++ b/src/store/store_type.hpp
@@ -48,7 +48,7 @@
 };
 
 /// A row with its key, as lists and the feed give it.
-struct named_row
+struct keyed_row
 {
     std::string key;
     store_row row;
@@ -68,7 +68,7 @@
 /// Rows of one table at one moment.
 struct row_list
 {
-    std::vector<named_row> rows;
+    std::vector<keyed_row> rows;
     std::uint64_t version = 0; ///< newest of the whole store at that moment
     /// That moment by the store's steady clock, in microseconds; nothing when
     /// it is not told, or when more changes stand behind these rows.
@@ -94,7 +94,7 @@
     std::function<std::optional<row_list>(const std::string& table,
                                           std::uint64_t after, span_us wait,
                                           store_error& last)>
-        follow_rows;
+        watch_rows;
     /// Writes an object; the same name always has the same content.
     std::function<bool(const std::string& name, const std::string& content,
                        store_error& last)>
--- a/src/table/config_table.hpp
+++ b/src/table/config_table.hpp
@@ -14,7 +14,7 @@
 inline bool set_real(double& member, std::string_view s, double least,
                      double most)
 {
-    const auto n = parse_real(s);
+    const auto n = parse_double(s);
     if (!n || *n < least || *n > most)
         return false;
     member = *n;
@@ -25,7 +25,7 @@
 inline bool set_ms(span_us& member, std::string_view s, std::int64_t least,
                    std::int64_t most)
 {
-    const auto n = parse_whole(s);
+    const auto n = parse_int(s);
     if (!n || *n < least || *n > most)
         return false;
     member = *n * us_per_ms;
@@ -68,7 +68,7 @@
 inline bool set_whole(std::int64_t& member, std::string_view s,
                       std::int64_t least, std::int64_t most)
 {
-    const auto n = parse_whole(s);
+    const auto n = parse_int(s);
     if (!n || *n < least || *n > most)
         return false;
     member = *n;
@@ -84,7 +84,7 @@
         const auto colon = text.rfind(':');
         const auto weight = colon == std::string::npos
                                 ? std::nullopt
-                                : parse_real(trim(text.substr(colon + 1)));
+                                : parse_double(trim(text.substr(colon + 1)));
         route_part part;
         part.service = trim(std::string_view(text).substr(0, colon));
         part.weight = weight.value_or(-1);
@@ -220,7 +220,7 @@
                           "several services with their shares of requests"},
     key_row<route_config>{"attempts",
                           [](route_config& c, std::string_view s) {
-                              const auto n = parse_whole(s);
+                              const auto n = parse_int(s);
                               c.attempts = static_cast<int>(n.value_or(0));
                               return c.attempts >= 1 && c.attempts <= 8;
                           },
@@ -233,7 +233,7 @@
                           "time within which an answer is worth all"},
     key_row<route_config>{"priority",
                           [](route_config& c, std::string_view s) {
-                              const auto n = parse_whole(s);
+                              const auto n = parse_int(s);
                               c.priority = static_cast<int>(n.value_or(-1));
                               return c.priority >= 0 && c.priority <= 9;
                           },
@@ -281,7 +281,7 @@
                          "requests", "requests at once"},
     key_row<team_config>{"priority",
                          [](team_config& c, std::string_view s) {
-                             const auto n = parse_whole(s);
+                             const auto n = parse_int(s);
                              c.priority = static_cast<int>(n.value_or(-1));
                              return *c.priority >= 0 && *c.priority <= 9;
                          },
--- a/src/table/settings_table.hpp
+++ b/src/table/settings_table.hpp
@@ -20,7 +20,7 @@
 inline bool set_int(int& member, std::string_view s, std::int64_t least,
                     std::int64_t most)
 {
-    const auto n = parse_whole(s);
+    const auto n = parse_int(s);
     if (!n || *n < least || *n > most)
         return false;
     member = static_cast<int>(*n);
@@ -71,9 +71,9 @@
 {
     const auto ends = split(s, ',');
     const auto first =
-        ends.size() == 2 ? parse_whole(trim(ends[0])) : std::nullopt;
+        ends.size() == 2 ? parse_int(trim(ends[0])) : std::nullopt;
     const auto last =
-        ends.size() == 2 ? parse_whole(trim(ends[1])) : std::nullopt;
+        ends.size() == 2 ? parse_int(trim(ends[1])) : std::nullopt;
     if (!first || !last || *first < 1 || *last <= *first || *last > 65535)
         return false;
     n.gossip_port = static_cast<int>(*first);
@@ -84,7 +84,7 @@
 /// Reads seconds with fractions into a member.
 inline bool set_seconds(span_us& member, std::string_view s, double most)
 {
-    const auto n = parse_real(s);
+    const auto n = parse_double(s);
     if (!n || *n < 0 || *n > most)
         return false;
     member = static_cast<span_us>(*n * static_cast<double>(us_per_s));
@@ -114,7 +114,7 @@
         if (both.size() != 2)
             return false;
         const auto what = value_of<tunable>(tunable_names, both[0]);
-        const auto factor = parse_real(both[1]);
+        const auto factor = parse_double(both[1]);
         if (!what || !factor || *factor <= 0 || *factor > max_factor)
             return false;
         e.scaled.push_back({*what, *factor});
--- a/test/fake_store.cpp
+++ b/test/fake_store.cpp
@@ -20,9 +20,9 @@
 
 bool answer_write(fake_store& p, store_error& last)
 {
-    if (p.lose_answers == 0)
+    if (p.lost_write_responses == 0)
         return true;
-    --p.lose_answers;
+    --p.lost_write_responses;
     last = store_error::unclear;
     return false;
 }
--- a/test/fake_store.hpp
+++ b/test/fake_store.hpp
@@ -15,10 +15,10 @@
     std::map<std::string, store_row> table; ///< by key; one table
     std::uint64_t version = 0;              ///< of the last transaction
     std::map<std::string, std::string> objects;
-    bool down = false;          ///< calls are never sent
-    int lose_answers = 0;       ///< so many writes lose their answer
-    int down_after_writes = -1; ///< goes down after so many; -1 for never
-    bool check_expected = true; ///< turned off to show that tests notice
+    bool down = false;            ///< calls are never sent
+    int lost_write_responses = 0; ///< so many writes lose their answer
+    int down_after_writes = -1;   ///< goes down after so many; -1 for never
+    bool check_expected = true;   ///< turned off to show that tests notice
 };
 
 /// Functions over a fake.
--- a/test/fuzz_member.cpp
+++ b/test/fuzz_member.cpp
@@ -100,7 +100,8 @@
     for (const auto& o : out) {
         const auto to = static_cast<std::size_t>(o.port) - 1000;
         if (to < nodes)
-            w.in_flight.push_back({from, to, jt::encode(o.message, keys)});
+            w.in_flight.push_back(
+                {from, to, jt::encode_message(o.message, keys)});
     }
 }
 
@@ -108,7 +109,7 @@
 {
     auto& x = w.all[f.to];
     jt::wire_error last{};
-    auto m = jt::decode(f.bytes, keys, last);
+    auto m = jt::decode_message(f.bytes, keys, last);
     RC_ASSERT(m.has_value());
     if (FLAGS_off == "refute")
         m->rumours.erase(std::remove_if(m->rumours.begin(), m->rumours.end(),
@@ -248,7 +249,7 @@
     w.loss = 0;
     w.store->down = false;
     w.store->down_after_writes = -1;
-    w.store->lose_answers = 0;
+    w.store->lost_write_responses = 0;
     for (auto& x : w.all)
         x.paused = false;
     run_steps(w, convergence_steps);
@@ -304,7 +305,7 @@
         w.store->down = !w.store->down;
         break;
     case 7:
-        w.store->lose_answers = static_cast<int>(m % 3);
+        w.store->lost_write_responses = static_cast<int>(m % 3);
         submit(w, n, 0);
         break;
     case 8:
--- a/test/test_config.cpp
+++ b/test/test_config.cpp
@@ -119,7 +119,7 @@
 TEST(config_submit, lost_answer_is_settled_by_reading_back)
 {
     auto p = std::make_shared<fake_store>();
-    p->lose_answers = 1;
+    p->lost_write_responses = 1;
     const auto r = submit_config(make_fake_store(p), make("one"));
     EXPECT_EQ(r.outcome, submit_outcome::accepted);
     EXPECT_EQ(r.head.version, 1U);
@@ -141,7 +141,7 @@
 TEST(config_submit, outage_after_the_write_is_not_guessed)
 {
     auto p = std::make_shared<fake_store>();
-    p->lose_answers = 1;
+    p->lost_write_responses = 1;
     p->down_after_writes = 4; // chunk, list, manifest, head
     const auto r = submit_config(make_fake_store(p), make("one"));
     EXPECT_EQ(r.outcome, submit_outcome::unsettled);
--- a/test/test_pages.cpp
+++ b/test/test_pages.cpp
@@ -144,7 +144,7 @@
 {
     const cluster_keys keys{1, {"first key of the test"}};
     wire_error last{};
-    const auto m = decode(encode(sample(), keys), keys, last);
+    const auto m = decode_message(encode_message(sample(), keys), keys, last);
     ASSERT_TRUE(m);
     EXPECT_EQ(m->records[0].name, "fukuoka-1");
     EXPECT_TRUE(m->records[0].workers[0].draining);
@@ -157,8 +157,9 @@
     const cluster_keys both{
         1, {"the new key of the test", "the old key of the test"}};
     wire_error last{};
-    EXPECT_TRUE(decode(encode(sample(), old_only), both, last));
-    EXPECT_FALSE(decode(encode(sample(), both), old_only, last));
+    EXPECT_TRUE(decode_message(encode_message(sample(), old_only), both, last));
+    EXPECT_FALSE(
+        decode_message(encode_message(sample(), both), old_only, last));
     EXPECT_EQ(last, wire_error::bad_mac);
 }
 
@@ -166,13 +167,14 @@
 {
     const cluster_keys keys{1, {"first key of the test"}};
     rc::check([&] {
-        auto bytes = encode(sample(), keys);
+        auto bytes = encode_message(sample(), keys);
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
         const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
         bytes[at] = static_cast<char>(bytes[at] ^ 0x40);
         wire_error last{};
-        RC_ASSERT(!decode(bytes, keys, last));
-        RC_ASSERT(!decode(std::string_view(bytes).substr(0, cut), keys, last));
+        RC_ASSERT(!decode_message(bytes, keys, last));
+        RC_ASSERT(!decode_message(std::string_view(bytes).substr(0, cut), keys,
+                                  last));
         RC_ASSERT(last != wire_error::none);
     });
 }
@@ -184,7 +186,7 @@
     gossip_message big = sample();
     big.records[0].workers.resize(max_workers + 1);
     wire_error last{};
-    EXPECT_FALSE(decode(encode(big, keys), keys, last));
+    EXPECT_FALSE(decode_message(encode_message(big, keys), keys, last));
     EXPECT_EQ(last, wire_error::out_of_bounds);
 }
 
--- a/test/test_platform_store.cpp
+++ b/test/test_platform_store.cpp
@@ -124,7 +124,7 @@
     ASSERT_TRUE(c.write_rows({write_of("a", "1")}, last));
     const auto start = c.list_rows(table, last);
     ASSERT_TRUE(start);
-    const auto none = c.follow_rows(table, start->version, us_per_ms, last);
+    const auto none = c.watch_rows(table, start->version, us_per_ms, last);
     ASSERT_TRUE(none);
     EXPECT_TRUE(none->rows.empty());
     std::thread writer([&] {
@@ -133,9 +133,9 @@
         c.write_rows({{{table, "a"}, {}, "", true}}, e);
     });
     auto after = start->version;
-    std::vector<named_row> seen;
+    std::vector<keyed_row> seen;
     while (seen.size() < 2) {
-        const auto more = c.follow_rows(table, after, 5 * us_per_s, last);
+        const auto more = c.watch_rows(table, after, 5 * us_per_s, last);
         ASSERT_TRUE(more);
         after = more->version;
         seen.insert(seen.end(), more->rows.begin(), more->rows.end());
@@ -157,7 +157,7 @@
     ASSERT_TRUE(c.write_rows({write_of("a", "1")}, last));
     ASSERT_TRUE(c.write_rows({write_of("a", "2")}, last));
     s.change([](store_state& x) { forget_history(x); });
-    EXPECT_FALSE(c.follow_rows(table, 1, us_per_ms, last));
+    EXPECT_FALSE(c.watch_rows(table, 1, us_per_ms, last));
     EXPECT_EQ(last, store_error::too_old);
 }
 
--- a/test/test_quarantine.cpp
+++ b/test/test_quarantine.cpp
@@ -235,10 +235,10 @@
     m.quarantine.digest = digest;
     m.quarantine.reply = true;
     const cluster_keys keys{1, {"key"}};
-    const auto bytes = encode(m, keys);
+    const auto bytes = encode_message(m, keys);
     EXPECT_LT(bytes.size(), 1400U); // one packet
     wire_error last{};
-    const auto read = decode(bytes, keys, last);
+    const auto read = decode_message(bytes, keys, last);
     ASSERT_TRUE(read);
     ASSERT_EQ(read->quarantine.reports.size(), running.size());
     EXPECT_EQ(read->quarantine.reports.front().age, us_per_s);
@@ -290,14 +290,14 @@
     m.quarantine.digest.assign(quarantine_buckets - 1, 7);
     const cluster_keys keys{1, {"key"}};
     wire_error last{};
-    EXPECT_FALSE(decode(encode(m, keys), keys, last));
+    EXPECT_FALSE(decode_message(encode_message(m, keys), keys, last));
     EXPECT_EQ(last, wire_error::out_of_bounds);
     m.quarantine.digest.clear();
     m.quarantine.reports.resize(1000);
-    EXPECT_FALSE(decode(encode(m, keys), keys, last));
+    EXPECT_FALSE(decode_message(encode_message(m, keys), keys, last));
     EXPECT_EQ(last, wire_error::out_of_bounds);
     m.quarantine.reports.clear();
-    EXPECT_FALSE(decode(encode(m, keys), {2, {"key"}}, last));
+    EXPECT_FALSE(decode_message(encode_message(m, keys), {2, {"key"}}, last));
     EXPECT_EQ(last, wire_error::other_cluster);
 }
 
