--- a/src/base/id_type.hpp
+++ b/src/base/id_type.hpp
@@ -1,6 +1,5 @@
-// Typed identifiers. A request id names its entry node, so that a question
-// about the request can be sent there; an attempt adds a count, because a
-// request may be tried on several backend servers one after the other.
+// Typed identifiers. A request id contains its entry node, so that queries
+// about the request can be sent there.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +10,7 @@
 
 namespace jasminetray {
 
-/// Hash of a node's name; the same after a restart.
+/// Hash of a node's name; stable across restarts.
 enum class node_id : std::uint64_t
 {
 };
@@ -21,17 +20,16 @@
 {
 };
 
-/// Random number that a process draws when it starts. Two processes never
-/// share one, so work that names a former process can be told apart.
+/// Random number that identifies one incarnation of a node's process. It tells
+/// work of a previous incarnation apart.
 enum class boot_id : std::uint64_t
 {
 };
 
-/// One request of a caller.
 struct request_id
 {
-    node_id entry{};       ///< node at which the request entered
-    std::uint64_t seq = 0; ///< unique in the fleet for this entry node
+    node_id entry{};
+    std::uint64_t seq = 0; ///< unique for this entry node
 
     friend bool operator==(const request_id& a, const request_id& b)
     {
@@ -39,11 +37,10 @@
     }
 };
 
-/// One try of a request on one backend server.
 struct attempt_id
 {
-    request_id request;      ///< the request that is tried
-    std::uint32_t count = 0; ///< 1 for the first try
+    request_id request;
+    std::uint32_t count = 0; ///< 1 for the first attempt
 
     friend bool operator==(const attempt_id& a, const attempt_id& b)
     {
@@ -51,19 +48,17 @@
     }
 };
 
-/// "entry-seq" in hex.
+/// Formats as "entry-seq" in hex.
 std::string to_text(const request_id& id);
 
-/// "entry-seq-count"; count in decimal.
+/// Formats as "entry-seq-count", with a decimal count.
 std::string to_text(const attempt_id& id);
 
-/// Parses what to_text() printed, or nothing.
+/// Parses the output of to_text(); returns nothing when `s` is malformed.
 std::optional<request_id> parse_request_id(std::string_view s);
 
-/// Parses what to_text() printed, or nothing.
 std::optional<attempt_id> parse_attempt_id(std::string_view s);
 
-/// Hash for unordered containers.
 struct attempt_hash
 {
     std::size_t operator()(const attempt_id& id) const noexcept
--- a/src/base/names_type.hpp
+++ b/src/base/names_type.hpp
@@ -1,5 +1,4 @@
-// Tables of names for enum classes: one row per value, in the order of the
-// enum, so that a name is an index and a parse is a short scan.
+// Names of enum classes, in tables indexed by the enum value.
 #pragma once
 
 #include <array>
@@ -9,9 +8,8 @@
 
 namespace jasminetray {
 
-/// Name of an enum value.
-/// @param names table with one name per value, in the order of the enum
-/// @param e the value
+/// Returns the name of an enum value, or "?" when it is out of range.
+/// @param names one name per value, in the order of the enum
 template <typename Enum, std::size_t N>
 constexpr std::string_view name_of(const std::array<std::string_view, N>& names,
                                    Enum e)
@@ -20,7 +18,7 @@
     return n < N ? names[n] : std::string_view("?");
 }
 
-/// Value of a name, or nothing when the table has no such name.
+/// Returns the value with this name, or nothing when the table has none.
 template <typename Enum, std::size_t N>
 constexpr std::optional<Enum>
 value_of(const std::array<std::string_view, N>& names, std::string_view s)
--- a/src/base/random_func.cpp
+++ b/src/base/random_func.cpp
@@ -1,4 +1,4 @@
-// Random numbers with passed-in state; see random_func.hpp.
+// splitmix64 generator and distributions.
 #include "base/random_func.hpp"
 
 #include <cmath>
@@ -7,21 +7,21 @@
 
 namespace {
 
-std::uint64_t finish(std::uint64_t z)
+std::uint64_t finalize(std::uint64_t z)
 {
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
 }
 
-constexpr std::uint64_t golden_step = 0x9e3779b97f4a7c15ULL;
+constexpr std::uint64_t golden_gamma = 0x9e3779b97f4a7c15ULL;
 
 } // namespace
 
 std::uint64_t random_next(random_state& r)
 {
-    r.value += golden_step;
-    return finish(r.value);
+    r.value += golden_gamma;
+    return finalize(r.value);
 }
 
 std::uint64_t random_below(random_state& r, std::uint64_t n)
@@ -48,7 +48,7 @@
 
 std::uint64_t mix_hash(std::uint64_t a, std::uint64_t b)
 {
-    return finish(a + golden_step * (b | 1) + b);
+    return finalize(a + golden_gamma * (b | 1) + b);
 }
 
 } // namespace jasminetray
--- a/src/base/text_func.cpp
+++ b/src/base/text_func.cpp
@@ -1,4 +1,4 @@
-// Text helpers; see text_func.hpp.
+// Parsing and formatting of numbers and addresses.
 #include "base/text_func.hpp"
 
 #include <boost/asio/ip/address_v4.hpp>
@@ -10,12 +10,12 @@
 
 namespace {
 
-template <typename Number, typename... Base>
-std::optional<Number> parse_all(std::string_view s, Base... base)
+template <typename Number, typename... Args>
+std::optional<Number> parse_number(std::string_view s, Args... args)
 {
     Number n{};
     const char* end = s.data() + s.size();
-    const auto r = std::from_chars(s.data(), end, n, base...);
+    const auto r = std::from_chars(s.data(), end, n, args...);
     if (r.ec != std::errc() || r.ptr != end || s.empty())
         return std::nullopt;
     return n;
@@ -25,11 +25,11 @@
 
 std::string_view trim(std::string_view s)
 {
-    constexpr std::string_view blanks = " \t\r\n";
-    const auto first = s.find_first_not_of(blanks);
+    constexpr std::string_view whitespace = " \t\r\n";
+    const auto first = s.find_first_not_of(whitespace);
     if (first == std::string_view::npos)
         return {};
-    return s.substr(first, s.find_last_not_of(blanks) - first + 1);
+    return s.substr(first, s.find_last_not_of(whitespace) - first + 1);
 }
 
 std::vector<std::string> split(std::string_view s, char separator)
@@ -49,17 +49,17 @@
 
 std::optional<std::int64_t> parse_int(std::string_view s)
 {
-    return parse_all<std::int64_t>(s);
+    return parse_number<std::int64_t>(s);
 }
 
 std::optional<double> parse_double(std::string_view s)
 {
-    return parse_all<double>(s);
+    return parse_number<double>(s);
 }
 
 std::optional<std::uint64_t> parse_hex(std::string_view s)
 {
-    return parse_all<std::uint64_t>(s, 16);
+    return parse_number<std::uint64_t>(s, 16);
 }
 
 std::string to_hex(std::uint64_t n)
--- a/src/base/text_func.hpp
+++ b/src/base/text_func.hpp
@@ -1,5 +1,5 @@
-// Small text helpers shared by the settings, the wire and the tools: strict
-// number parsing (the whole text or nothing), splitting, hex, hashing.
+// Text helpers. The number parsers accept a string only as a whole; they return
+// nothing for empty input, surrounding space or trailing characters.
 #pragma once
 
 #include <cstdint>
@@ -10,38 +10,34 @@
 
 namespace jasminetray {
 
-/// Text without blanks at both ends.
+/// Removes whitespace at both ends.
 std::string_view trim(std::string_view s);
 
-/// Parts of `s` between separators, trimmed; empty parts are left out.
+/// Splits `s` at separators; trims the parts and omits empty ones.
 std::vector<std::string> split(std::string_view s, char separator);
 
-/// The whole of `s` as a decimal whole number, or nothing.
 std::optional<std::int64_t> parse_int(std::string_view s);
 
-/// The whole of `s` as a decimal number, or nothing.
 std::optional<double> parse_double(std::string_view s);
 
-/// The whole of `s` as up to 16 hex digits, or nothing.
+/// Parses up to 16 hex digits.
 std::optional<std::uint64_t> parse_hex(std::string_view s);
 
-/// 16 hex digits.
+/// Formats as 16 lower-case hex digits.
 std::string to_hex(std::uint64_t n);
 
-/// 64-bit content hash (XXH3); not a MAC.
+/// Returns the 64-bit XXH3 hash, which is not suitable as a MAC.
 std::uint64_t text_hash(std::string_view s);
 
-/// IPv4 address and port.
 struct host_port
 {
-    std::string ip;         ///< dotted decimal
-    std::uint16_t port = 0; ///< 0 means "any free port"
+    std::string ip;         ///< IPv4 address in dotted decimal
+    std::uint16_t port = 0; ///< 0 for any free port
 };
 
-/// "a.b.c.d:port", or nothing.
+/// Parses "a.b.c.d:port"; returns nothing when `s` is malformed.
 std::optional<host_port> parse_host_port(std::string_view s);
 
-/// True when `s` is a dotted-decimal IPv4 address.
 bool is_ipv4(std::string_view s);
 
 } // namespace jasminetray
--- a/src/base/time_func.cpp
+++ b/src/base/time_func.cpp
@@ -1,5 +1,5 @@
-// The one place that reads clocks. The wall clock may jump while a VM is
-// paused or corrected, so no span of time is ever measured with it.
+// Clock access. Durations are never measured with the wall clock, because it
+// may step while a VM is paused.
 #include "base/time_type.hpp"
 
 #include <chrono>
--- a/src/ctl/ctl_config.cpp
+++ b/src/ctl/ctl_config.cpp
@@ -1,4 +1,4 @@
-// `jasminetray-ctl config ...`: the only way to steer the fleet.
+// Configuration commands: check, submit, show, history and rollback.
 #include "base/text_func.hpp"
 #include "base/time_type.hpp"
 #include "config/config_check.hpp"
@@ -15,12 +15,12 @@
 #include <sstream>
 #include <thread>
 
-DEFINE_string(platform, "", "ip:port of the platform's store");
-DEFINE_string(author, "", "who submits");
+DEFINE_string(platform, "", "IP:PORT of the platform's store");
+DEFINE_string(author, "", "author recorded with the submission");
 DEFINE_uint64(based_on, 0,
-              "version that the files were made from; refused "
-              "when another is in force; 0 for any");
-DEFINE_uint64(number, 0, "version to show or to roll back to");
+              "version that the files are based on; the submission is rejected "
+              "when another version is in force; 0 accepts any");
+DEFINE_uint64(number, 0, "version to show, or to roll back to");
 
 namespace jasminetray {
 
@@ -28,7 +28,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr span_us call_bound = 2 * us_per_s;
+constexpr span_us store_timeout = 2 * us_per_s;
 constexpr std::size_t max_history = 20;
 
 std::string read_file(const fs::path& path)
@@ -39,8 +39,9 @@
     return text.str();
 }
 
-/// base.ini and overlays/*.ini of a folder; overlays named by their site.
-std::vector<config_file> read_folder(const fs::path& folder)
+/// Reads base.ini and overlays/*.ini of a folder. An overlay keeps its file
+/// name, which is that of its data centre.
+std::vector<config_file> read_config_folder(const fs::path& folder)
 {
     std::vector<config_file> files;
     std::error_code ec;
@@ -48,9 +49,9 @@
         files.push_back(
             {std::string(base_file_name), read_file(folder / base_file_name)});
     std::vector<fs::path> overlays;
-    for (const auto& e : fs::directory_iterator(folder / "overlays", ec)) {
-        if (e.path().extension() == ".ini")
-            overlays.push_back(e.path());
+    for (const auto& entry : fs::directory_iterator(folder / "overlays", ec)) {
+        if (entry.path().extension() == ".ini")
+            overlays.push_back(entry.path());
     }
     std::sort(overlays.begin(), overlays.end());
     for (const auto& path : overlays)
@@ -58,38 +59,38 @@
     return files;
 }
 
-int check(const ctl_words& words)
+int check_config(const ctl_args& args)
 {
-    if (words.size() != 3) {
+    if (args.size() != 3) {
         std::cerr << "usage: config check FOLDER\n";
         return exit_usage;
     }
-    config_error last;
-    if (!check_files(read_folder(words[2]), last)) {
-        std::cerr << last.text() << "\n";
+    config_error error;
+    if (!check_files(read_config_folder(args[2]), error)) {
+        std::cerr << error.text() << "\n";
         return exit_usage;
     }
     std::cout << "ok\n";
-    return exit_done;
+    return exit_success;
 }
 
-std::optional<store_api> platform()
+std::optional<store_api> connect_store()
 {
-    const auto at = parse_host_port(FLAGS_platform);
-    if (!at) {
-        std::cerr << "--platform ip:port is needed\n";
+    const auto address = parse_host_port(FLAGS_platform);
+    if (!address) {
+        std::cerr << "--platform IP:PORT is required\n";
         return std::nullopt;
     }
-    return make_store_client(*at, call_bound);
+    return make_store_client(*address, store_timeout);
 }
 
-int report(const submit_result& r)
+int print_submit_result(const submit_result& r)
 {
     const auto name = name_of(submit_outcome_names, r.outcome);
     if (r.outcome == submit_outcome::accepted) {
         std::cout << "accepted version=" << r.head.version
                   << " submission=" << r.head.submission << "\n";
-        return exit_done;
+        return exit_success;
     }
     std::cerr << name << ": " << r.reason << "\n";
     for (const auto& f : r.differ)
@@ -124,121 +125,125 @@
     return s;
 }
 
-int submit(const ctl_words& words)
+int submit_folder(const ctl_args& args)
 {
-    if (words.size() != 3) {
-        std::cerr << "usage: config submit FOLDER --platform ip:port\n";
+    if (args.size() != 3) {
+        std::cerr << "usage: config submit FOLDER --platform IP:PORT\n";
         return exit_usage;
     }
-    const auto p = platform();
-    return p ? report(submit_config(*p, make_submission(read_folder(words[2]))))
-             : exit_usage;
+    const auto store = connect_store();
+    return store ? print_submit_result(submit_config(
+                       *store, make_submission(read_config_folder(args[2]))))
+                 : exit_usage;
 }
 
-int store_failed(store_error e)
+int print_store_error(store_error error)
 {
-    std::cerr << "store: " << name_of(store_error_names, e) << "\n";
+    std::cerr << "store: " << name_of(store_error_names, error) << "\n";
     return exit_not_accepted;
 }
 
-/// Head or a version's history row.
-std::optional<config_head> find_head(const store_api& p, store_error& last)
+/// Reads the version chosen by --number, or the head when it is 0.
+std::optional<config_head> read_selected_version(const store_api& store,
+                                                 store_error& error)
 {
-    return FLAGS_number == 0 ? read_head(p, last)
-                             : read_history(p, FLAGS_number, last);
+    return FLAGS_number == 0 ? read_head(store, error)
+                             : read_history(store, FLAGS_number, error);
 }
 
-std::optional<std::vector<config_file>> files_of(const store_api& p,
-                                                 const config_head& h)
+std::optional<std::vector<config_file>> load_version(const store_api& store,
+                                                     const config_head& head)
 {
-    std::string why;
-    store_error last{};
+    std::string reason;
+    store_error error{};
     auto files = load_files(
-        h.manifest,
-        [&](const std::string& name) { return p.get_object(name, last); }, why);
+        head.manifest,
+        [&](const std::string& name) { return store.get_object(name, error); },
+        reason);
     if (!files)
-        std::cerr << why << "\n";
+        std::cerr << reason << "\n";
     return files;
 }
 
 int show()
 {
-    const auto p = platform();
-    if (!p)
+    const auto store = connect_store();
+    if (!store)
         return exit_usage;
-    store_error last{};
-    const auto h = find_head(*p, last);
-    if (!h)
-        return store_failed(last);
-    std::cout << "version " << h->version << " author " << h->author
-              << " submission " << h->submission << "\n";
-    if (h->version == 0)
-        return exit_done;
-    const auto files = files_of(*p, *h);
+    store_error error{};
+    const auto head = read_selected_version(*store, error);
+    if (!head)
+        return print_store_error(error);
+    std::cout << "version " << head->version << " author " << head->author
+              << " submission " << head->submission << "\n";
+    if (head->version == 0)
+        return exit_success;
+    const auto files = load_version(*store, *head);
     if (!files)
         return exit_refused;
     for (const auto& f : *files)
         std::cout << "--- " << f.name << "\n" << f.content;
-    return exit_done;
+    return exit_success;
 }
 
 int history()
 {
-    const auto p = platform();
-    if (!p)
+    const auto store = connect_store();
+    if (!store)
         return exit_usage;
-    store_error last{};
-    const auto head = read_head(*p, last);
+    store_error error{};
+    const auto head = read_head(*store, error);
     if (!head)
-        return store_failed(last);
-    std::size_t n = 0;
-    for (auto v = head->version; v > 0 && n < max_history; --v, ++n) {
-        const auto row = read_history(*p, v, last);
+        return print_store_error(error);
+    std::size_t count = 0;
+    for (auto v = head->version; v > 0 && count < max_history; --v, ++count) {
+        const auto row = read_history(*store, v, error);
         if (!row)
-            return store_failed(last);
+            return print_store_error(error);
         std::cout << row->version << " author " << row->author << " submission "
                   << row->submission;
         if (row->rolled_back_to != 0)
             std::cout << " rolled back to " << row->rolled_back_to;
         std::cout << "\n";
     }
-    return exit_done;
+    return exit_success;
 }
 
-/// A rollback is a new version with old files: a number never comes back.
+/// Submits the files of an earlier version as a new version; version numbers
+/// are never reused.
 int rollback()
 {
-    const auto p = platform();
-    if (!p || FLAGS_number == 0) {
+    const auto store = connect_store();
+    if (!store || FLAGS_number == 0) {
         std::cerr << "usage: config rollback --number N\n";
         return exit_usage;
     }
-    store_error last{};
-    const auto h = read_history(*p, FLAGS_number, last);
-    if (!h)
-        return store_failed(last);
-    auto files = files_of(*p, *h);
+    store_error error{};
+    const auto head = read_history(*store, FLAGS_number, error);
+    if (!head)
+        return print_store_error(error);
+    auto files = load_version(*store, *head);
     if (!files)
         return exit_refused;
     auto s = make_submission(std::move(*files));
     s.rolled_back_to = FLAGS_number;
-    return report(submit_config(*p, s));
+    return print_submit_result(submit_config(*store, s));
 }
 
 } // namespace
 
-int run_config(const ctl_words& words)
+int run_config(const ctl_args& args)
 {
-    const auto what = words.size() > 1 ? words[1] : "";
-    if (what == "check")
-        return check(words);
-    if (what == "submit")
-        return submit(words);
-    if (what == "show")
+    const auto command = args.size() > 1 ? args[1] : "";
+    if (command == "check")
+        return check_config(args);
+    if (command == "submit")
+        return submit_folder(args);
+    if (command == "show")
         return show();
-    if (what == "history")
+    if (command == "history")
         return history();
-    if (what == "rollback")
+    if (command == "rollback")
         return rollback();
     std::cerr << "usage: config check|submit|show|history|rollback\n";
     return exit_usage;
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -1,6 +1,4 @@
-// jasminetray-ctl: the operators' command line. Exit codes: 0 done, 1 the
-// node refused or found nothing, 2 bad words, flags or files, 3 not
-// accepted, 4 not settled.
+// jasminetray-ctl, the command line tool for operators.
 #include "config/node_settings.hpp"
 #include "ctl/ctl_type.hpp"
 #include "event/event_log.hpp"
@@ -12,43 +10,43 @@
 namespace {
 
 constexpr char usage[] =
-    "operators' command line\n"
+    "command line tool for operators\n"
     "  config check FOLDER\n"
     "  config submit FOLDER --platform IP:PORT [--author A] [--based_on N]\n"
     "  config show|history --platform IP:PORT [--number N]\n"
     "  config rollback --platform IP:PORT --number N\n"
     "  fleet show | node show | service show NAME   --node IP:PORT [--json]\n"
     "  teams list | teams show NAME                 --node IP:PORT [--json]\n"
-    "  whois --node IP:PORT    (the key comes by standard input)\n"
+    "  whois --node IP:PORT    (reads the key from standard input)\n"
     "  explain request|refusal|ejection|config|member|change [SUBJECT]\n"
     "  drain|undrain|eject|readmit WORKER --reason TEXT [--token T]\n"
     "  quarantine list --node IP:PORT [--json]\n"
     "  quarantine release FINGERPRINT --node IP:PORT --reason TEXT\n"
     "             [--token T]\n"
     "  events | settings\n"
-    "exit codes: 0 done, 1 refused or not found, 2 bad words or files,\n"
-    "3 not accepted, 4 not settled";
+    "exit codes: 0 success, 1 refused or not found, 2 invalid arguments or\n"
+    "files, 3 not accepted, 4 outcome unknown";
 
-int run(const jasminetray::ctl_words& words)
+int run(const jasminetray::ctl_args& args)
 {
-    const std::string what = words.empty() ? "" : words[0];
-    if (what == "config")
-        return jasminetray::run_config(words);
-    if (what == "drain" || what == "undrain" || what == "eject" ||
-        what == "readmit")
-        return jasminetray::run_change(words);
-    if (what == "events") {
+    const std::string command = args.empty() ? "" : args[0];
+    if (command == "config")
+        return jasminetray::run_config(args);
+    if (command == "drain" || command == "undrain" || command == "eject" ||
+        command == "readmit")
+        return jasminetray::run_change(args);
+    if (command == "events") {
         std::cout << jasminetray::event_catalogue();
-        return jasminetray::exit_done;
+        return jasminetray::exit_success;
     }
-    if (what == "settings") {
+    if (command == "settings") {
         std::cout << jasminetray::settings_reference();
-        return jasminetray::exit_done;
+        return jasminetray::exit_success;
     }
-    if (what == "fleet" || what == "node" || what == "service" ||
-        what == "quarantine" || what == "teams" || what == "whois" ||
-        what == "explain")
-        return jasminetray::run_query(words);
+    if (command == "fleet" || command == "node" || command == "service" ||
+        command == "quarantine" || command == "teams" || command == "whois" ||
+        command == "explain")
+        return jasminetray::run_query(args);
     std::cerr << usage << "\n";
     return jasminetray::exit_usage;
 }
--- a/src/ctl/ctl_node.cpp
+++ b/src/ctl/ctl_node.cpp
@@ -1,5 +1,5 @@
-// Questions to nodes and changes by hand, over RPC. A node that does not
-// have the answer names the one that does, and it is asked next.
+// Queries and operator commands sent to nodes over RPC. A node that can't
+// answer returns the address of the node that can, and the tool follows it.
 #include "base/names_type.hpp"
 #include "base/text_func.hpp"
 #include "ctl/ctl_type.hpp"
@@ -11,12 +11,13 @@
 #include <iomanip>
 #include <iostream>
 
-DEFINE_string(node, "", "ip:port of any node's RPC address");
-DEFINE_bool(json, false, "print JSON as it came");
-DEFINE_string(token, "", "token for changes");
-DEFINE_string(reason, "", "why; kept in the audit event");
-DEFINE_int64(seconds, 600, "expiry of an ejection by hand");
-DEFINE_bool(force, false, "eject even below the floor");
+DEFINE_string(node, "", "IP:PORT of any node's RPC address");
+DEFINE_bool(json, false, "print the response as JSON");
+DEFINE_string(token, "", "operator token, required for changes");
+DEFINE_string(reason, "", "reason recorded in the audit event");
+DEFINE_int64(seconds, 600, "duration of an operator's ejection, in seconds");
+DEFINE_bool(force, false,
+            "eject even when the capacity left falls below the floor");
 
 namespace jasminetray {
 
@@ -24,32 +25,34 @@
 
 namespace json = boost::json;
 
-constexpr span_us call_bound = 2 * us_per_s;
-constexpr int max_hops = 3;
+constexpr span_us rpc_timeout = 2 * us_per_s;
+constexpr int max_redirects = 3;
 
-/// Asks a node, and whichever it names instead.
-std::optional<json::object> ask(const std::string& request)
+/// Sends a request to the node of --node; prints an error when that fails.
+std::optional<json::object> send_request(const std::string& request)
 {
-    auto at = parse_host_port(FLAGS_node);
-    for (int n = 0; at && n < max_hops; ++n) {
-        const auto ip = boost::asio::ip::make_address_v4(at->ip).to_uint();
-        const auto text = call_query(ip, at->port, request, call_bound);
+    auto address = parse_host_port(FLAGS_node);
+    for (int n = 0; address && n < max_redirects; ++n) {
+        const auto ip = boost::asio::ip::make_address_v4(address->ip).to_uint();
+        const auto text = call_query(ip, address->port, request, rpc_timeout);
         json::error_code ec;
         const auto v = text ? json::parse(*text, ec) : json::value();
         if (!text || ec || !v.is_object()) {
-            std::cerr << "no answer from " << at->ip << ":" << at->port << "\n";
+            std::cerr << "no valid response from " << address->ip << ":"
+                      << address->port << "\n";
             return std::nullopt;
         }
-        const auto* next = v.as_object().if_contains("ask");
-        if (next == nullptr || !next->is_string())
+        const auto* redirect = v.as_object().if_contains("ask");
+        if (redirect == nullptr || !redirect->is_string())
             return v.as_object();
-        at = parse_host_port(std::string(next->as_string()));
+        address = parse_host_port(std::string(redirect->as_string()));
     }
-    std::cerr << "--node ip:port is needed\n";
+    std::cerr << "--node IP:PORT is missing or invalid, or there were too many "
+                 "redirects\n";
     return std::nullopt;
 }
 
-std::string text_of(const json::value& v)
+std::string to_display_text(const json::value& v)
 {
     if (v.is_string())
         return std::string(v.as_string());
@@ -60,17 +63,17 @@
 {
     std::string line;
     for (const auto& [key, value] : o)
-        line += std::string(key) + "=" + text_of(value) + "  ";
+        line += std::string(key) + "=" + to_display_text(value) + "  ";
     std::cout << line << "\n";
 }
 
-/// Plain members first, then each list as one line per element.
+/// Prints scalar members first, then each list with one line per element.
 void print_object(const json::object& o)
 {
     for (const auto& [key, value] : o) {
         if (!value.is_array())
             std::cout << std::left << std::setw(20) << std::string(key) << " "
-                      << text_of(value) << "\n";
+                      << to_display_text(value) << "\n";
     }
     for (const auto& [key, value] : o) {
         if (!value.is_array())
@@ -81,74 +84,74 @@
     }
 }
 
-int show(const json::object& request)
+int print_query(const json::object& request)
 {
-    const auto answer = ask(json::serialize(request));
-    if (!answer)
+    const auto response = send_request(json::serialize(request));
+    if (!response)
         return exit_refused;
     if (FLAGS_json)
-        std::cout << json::serialize(*answer) << "\n";
+        std::cout << json::serialize(*response) << "\n";
     else
-        print_object(*answer);
-    return answer->contains("error") ? exit_refused : exit_done;
+        print_object(*response);
+    return response->contains("error") ? exit_refused : exit_success;
 }
 
-/// The key comes by standard input: a command line stands in process lists and
-/// in histories of shells.
+/// Reads the key from standard input, because a command line is visible in
+/// process lists and shell histories.
 int whois()
 {
     std::string key;
     std::getline(std::cin, key);
     if (key.empty()) {
-        std::cerr << "usage: whois --node IP:PORT, with the key in standard "
+        std::cerr << "usage: whois --node IP:PORT, with the key on standard "
                      "input\n";
         return exit_usage;
     }
-    return show({{"query", "whois"}, {"key", key}});
+    return print_query({{"query", "whois"}, {"key", key}});
 }
 
-int explain(const ctl_words& words)
+int explain(const ctl_args& args)
 {
-    const std::string what = words.size() > 1 ? words[1] : "";
-    const std::string subject = words.size() > 2 ? words[2] : "";
+    const std::string topic = args.size() > 1 ? args[1] : "";
+    const std::string subject = args.size() > 2 ? args[2] : "";
     std::string family;
-    if (what == "request" || what == "refusal")
+    if (topic == "request" || topic == "refusal")
         family = "routing";
-    else if (what == "ejection")
+    else if (topic == "ejection")
         family = "health";
-    else if (what == "config")
+    else if (topic == "config")
         family = "configuration";
-    else if (what == "member")
+    else if (topic == "member")
         family = "membership";
-    else if (what == "change")
+    else if (topic == "change")
         family = "operation";
     if (family.empty()) {
         std::cerr << "usage: explain request|refusal|ejection|config|member|"
                      "change [SUBJECT]\n";
         return exit_usage;
     }
-    return show(
+    return print_query(
         {{"query", "explain"}, {"family", family}, {"subject", subject}});
 }
 
-/// Sends a change and prints its answer.
-int change(const json::object& request)
+int send_change(const json::object& request)
 {
-    const auto answer = ask(json::serialize(request) + "\n" + FLAGS_token);
-    if (!answer)
+    const auto response =
+        send_request(json::serialize(request) + "\n" + FLAGS_token);
+    if (!response)
         return exit_refused;
-    std::cout << json::serialize(*answer) << "\n";
-    return answer->contains("error") ? exit_refused : exit_done;
+    std::cout << json::serialize(*response) << "\n";
+    return response->contains("error") ? exit_refused : exit_success;
 }
 
-int quarantine(const ctl_words& words)
+int quarantine(const ctl_args& args)
 {
-    if (words.size() == 2 && words[1] == "list")
-        return show({{"query", "quarantine"}});
-    if (words.size() == 3 && words[1] == "release")
-        return change({{"command", "release"},
-                       {"fingerprint", words[2]},
-                       {"reason", FLAGS_reason}});
+    if (args.size() == 2 && args[1] == "list")
+        return print_query({{"query", "quarantine"}});
+    if (args.size() == 3 && args[1] == "release")
+        return send_change({{"command", "release"},
+                            {"fingerprint", args[2]},
+                            {"reason", FLAGS_reason}});
     std::cerr << "usage: quarantine list | quarantine release FINGERPRINT "
                  "--reason TEXT\n";
     return exit_usage;
@@ -156,41 +159,41 @@
 
 } // namespace
 
-int run_query(const ctl_words& words)
+int run_query(const ctl_args& args)
 {
-    const std::string what = words.empty() ? "" : words[0];
-    if (what == "fleet")
-        return show({{"query", "fleet"}});
-    if (what == "node")
-        return show({{"query", "status"}});
-    if (what == "service" && words.size() == 3)
-        return show({{"query", "service"}, {"name", words[2]}});
-    if (what == "quarantine")
-        return quarantine(words);
-    if (what == "teams" && words.size() == 2 && words[1] == "list")
-        return show({{"query", "teams"}});
-    if (what == "teams" && words.size() == 3 && words[1] == "show")
-        return show({{"query", "team"}, {"name", words[2]}});
-    if (what == "whois")
+    const std::string command = args.empty() ? "" : args[0];
+    if (command == "fleet")
+        return print_query({{"query", "fleet"}});
+    if (command == "node")
+        return print_query({{"query", "status"}});
+    if (command == "service" && args.size() == 3)
+        return print_query({{"query", "service"}, {"name", args[2]}});
+    if (command == "quarantine")
+        return quarantine(args);
+    if (command == "teams" && args.size() == 2 && args[1] == "list")
+        return print_query({{"query", "teams"}});
+    if (command == "teams" && args.size() == 3 && args[1] == "show")
+        return print_query({{"query", "team"}, {"name", args[2]}});
+    if (command == "whois")
         return whois();
-    if (what == "explain")
-        return explain(words);
+    if (command == "explain")
+        return explain(args);
     std::cerr << "usage: fleet show | node show | service show NAME | "
                  "teams list | teams show NAME | whois | explain ...\n";
     return exit_usage;
 }
 
-int run_change(const ctl_words& words)
+int run_change(const ctl_args& args)
 {
-    if (words.size() != 2) {
-        std::cerr << "usage: " << words[0] << " WORKER --reason TEXT\n";
+    if (args.size() != 2) {
+        std::cerr << "usage: " << args[0] << " WORKER --reason TEXT\n";
         return exit_usage;
     }
-    return change({{"command", words[0]},
-                   {"worker", words[1]},
-                   {"reason", FLAGS_reason},
-                   {"seconds", FLAGS_seconds},
-                   {"force", FLAGS_force}});
+    return send_change({{"command", args[0]},
+                        {"worker", args[1]},
+                        {"reason", FLAGS_reason},
+                        {"seconds", FLAGS_seconds},
+                        {"force", FLAGS_force}});
 }
 
 } // namespace jasminetray
--- a/src/ctl/ctl_type.hpp
+++ b/src/ctl/ctl_type.hpp
@@ -1,4 +1,4 @@
-// The operators' command line: words and flags of one call.
+// Commands and exit codes of the command line tool.
 #pragma once
 
 #include <string>
@@ -6,22 +6,21 @@
 
 namespace jasminetray {
 
-constexpr int exit_done = 0;         ///< done
+constexpr int exit_success = 0;
 constexpr int exit_refused = 1;      ///< the node refused, or found nothing
-constexpr int exit_usage = 2;        ///< bad words, flags or files
-constexpr int exit_not_accepted = 3; ///< store out, or another was first
-constexpr int exit_unsettled = 4;    ///< sent, and nobody can tell yet
+constexpr int exit_usage = 2;        ///< invalid arguments or files
+constexpr int exit_not_accepted = 3; ///< store unavailable, or conflict
+constexpr int exit_unsettled = 4;    ///< sent; outcome unknown
 
-/// Words of the call, after the flags were taken out.
-using ctl_words = std::vector<std::string>;
+/// Positional arguments; flags are already removed.
+using ctl_args = std::vector<std::string>;
 
-/// `config check|submit|show|history|rollback`.
-int run_config(const ctl_words& words);
+int run_config(const ctl_args& args);
 
-/// `fleet show`, `service show`, `node show`, `explain ...`.
-int run_query(const ctl_words& words);
+/// Runs the commands that query nodes, and the quarantine commands.
+int run_query(const ctl_args& args);
 
-/// `drain`, `undrain`, `eject`, `readmit`.
-int run_change(const ctl_words& words);
+/// Runs `drain`, `undrain`, `eject` or `readmit`.
+int run_change(const ctl_args& args);
 
 } // namespace jasminetray
--- a/src/http/http_client.cpp
+++ b/src/http/http_client.cpp
@@ -1,4 +1,4 @@
-// Blocking HTTP with a time bound; see http_client.hpp.
+// Blocking HTTP call on Boost.Beast.
 #include "http/http_client.hpp"
 
 #include <algorithm>
@@ -15,11 +15,11 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 
-constexpr std::uint64_t max_body = 64 << 20;
+constexpr std::uint64_t max_body_bytes = 64 << 20;
 
-/// Runs one asynchronous step to its end; the stream's own timer ends it.
+/// Runs one asynchronous operation to completion; the stream's timer bounds it.
 template <typename Start>
-bool run_step(asio::io_context& ctx, Start start)
+bool run_operation(asio::io_context& ctx, Start start)
 {
     beast::error_code result = asio::error::timed_out;
     start([&result](beast::error_code ec, auto&&...) { result = ec; });
@@ -28,59 +28,61 @@
     return !result;
 }
 
-http::request<http::string_body> make_request(const http_request& call)
+http::request<http::string_body> make_beast_request(const http_request& request)
 {
-    http::request<http::string_body> q(http::string_to_verb(call.method),
-                                       call.target, 11);
-    q.set(http::field::host, call.to.ip);
-    for (const auto& [name, value] : call.headers)
-        q.set(name, value);
-    q.keep_alive(false);
-    q.body() = call.body;
-    q.prepare_payload();
-    return q;
+    http::request<http::string_body> message(
+        http::string_to_verb(request.method), request.target, 11);
+    message.set(http::field::host, request.address.ip);
+    for (const auto& [name, value] : request.headers)
+        message.set(name, value);
+    message.keep_alive(false);
+    message.body() = request.body;
+    message.prepare_payload();
+    return message;
 }
 
-http_response make_answer(const http::response<http::string_body>& r)
+http_response make_response(const http::response<http::string_body>& message)
 {
-    http_response a;
-    a.status = r.result_int();
-    a.body = r.body();
-    for (const auto& f : r) {
-        std::string name(f.name_string());
+    http_response result;
+    result.status = message.result_int();
+    result.body = message.body();
+    for (const auto& field : message) {
+        std::string name(field.name_string());
         std::transform(name.begin(), name.end(), name.begin(),
                        [](unsigned char c) { return std::tolower(c); });
-        a.headers[name] = std::string(f.value());
+        result.headers[name] = std::string(field.value());
     }
-    return a;
+    return result;
 }
 
 } // namespace
 
-std::optional<http_response> send_http_request(const http_request& call,
-                                               http_error& last)
+std::optional<http_response> send_http_request(const http_request& request,
+                                               http_error& error)
 {
     asio::io_context ctx;
     beast::tcp_stream stream(ctx);
-    stream.expires_after(std::chrono::microseconds(call.bound));
-    const asio::ip::tcp::endpoint to(asio::ip::make_address_v4(call.to.ip),
-                                     call.to.port);
-    last = http_error::not_sent;
-    if (!run_step(ctx, [&](auto done) { stream.async_connect(to, done); }))
+    stream.expires_after(std::chrono::microseconds(request.timeout));
+    const asio::ip::tcp::endpoint endpoint(
+        asio::ip::make_address_v4(request.address.ip), request.address.port);
+    error = http_error::not_sent;
+    if (!run_operation(
+            ctx, [&](auto done) { stream.async_connect(endpoint, done); }))
         return std::nullopt;
-    last = http_error::no_answer;
-    auto q = make_request(call);
-    if (!run_step(ctx, [&](auto done) { http::async_write(stream, q, done); }))
+    error = http_error::no_answer;
+    auto message = make_beast_request(request);
+    if (!run_operation(
+            ctx, [&](auto done) { http::async_write(stream, message, done); }))
         return std::nullopt;
     beast::flat_buffer buf;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(max_body);
-    if (!run_step(ctx, [&](auto done) {
+    parser.body_limit(max_body_bytes);
+    if (!run_operation(ctx, [&](auto done) {
             http::async_read(stream, buf, parser, done);
         }))
         return std::nullopt;
-    last = http_error::none;
-    return make_answer(parser.get());
+    error = http_error::none;
+    return make_response(parser.get());
 }
 
 } // namespace jasminetray
--- a/src/http/http_client.hpp
+++ b/src/http/http_client.hpp
@@ -1,5 +1,5 @@
-// A blocking HTTP call with a time bound, for everything that is not on the
-// request path: the platform, the operators' tool, the stand-ins.
+// Blocking HTTP client for code outside the request path, such as the store
+// client and the test backends.
 #pragma once
 
 #include "base/names_type.hpp"
@@ -12,29 +12,26 @@
 
 namespace jasminetray {
 
-/// Why a call failed.
 enum class http_error : std::uint8_t
 {
     none,
-    not_sent,  ///< no connection: the other side saw nothing
-    no_answer, ///< sent, and no whole answer came
+    not_sent,  ///< no connection; the server received nothing
+    no_answer, ///< no complete response; the server may have acted
 };
 
 inline constexpr std::array<std::string_view, 3> http_error_names = {
     "none", "not-sent", "no-answer"};
 
-/// One call.
 struct http_request
 {
-    host_port to;
+    host_port address;
     std::string method = "GET";
     std::string target = "/";
     std::string body;
     std::map<std::string, std::string> headers;
-    span_us bound = 2 * us_per_s; ///< for the whole call
+    span_us timeout = 2 * us_per_s; ///< for the whole call
 };
 
-/// Its answer.
 struct http_response
 {
     unsigned status = 0;
@@ -42,8 +39,9 @@
     std::map<std::string, std::string> headers; ///< names in lower case
 };
 
-/// Makes a call and waits for the answer.
-std::optional<http_response> send_http_request(const http_request& call,
-                                               http_error& last);
+/// Sends a request on a new connection and waits for the response.
+/// @return nothing on error, with the reason in `error`
+std::optional<http_response> send_http_request(const http_request& request,
+                                               http_error& error);
 
 } // namespace jasminetray
--- a/src/rpc/peer_rpc.cpp
+++ b/src/rpc/peer_rpc.cpp
@@ -1,4 +1,4 @@
-// Cap'n Proto RPC; see peer_rpc.hpp.
+// Cap'n Proto RPC server and client calls of a node.
 #include "rpc/peer_rpc.hpp"
 
 #include "wire/peer.capnp.h"
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::uint8_t no_reply = 255;
+constexpr std::uint8_t no_revoke_reply = 255;
 
-class peer_service final : public wire::Peer::Server
+class peer_service_impl final : public wire::Peer::Server
 {
 public:
-    explicit peer_service(peer_handlers handlers)
+    explicit peer_service_impl(peer_handlers handlers)
         : handlers_(std::move(handlers))
     {
     }
@@ -32,7 +32,7 @@
             a ? handlers_.revoke(*a, static_cast<boot_id>(p.getBoot()))
               : std::nullopt;
         context.getResults().setReply(reply ? static_cast<std::uint8_t>(*reply)
-                                            : no_reply);
+                                            : no_revoke_reply);
         return kj::READY_NOW;
     }
 
@@ -60,25 +60,24 @@
     peer_handlers handlers_;
 };
 
-std::string ip_text(std::uint32_t ip)
+std::string to_dotted_decimal(std::uint32_t ip)
 {
     return std::to_string(ip >> 24) + "." + std::to_string(ip >> 16 & 255) +
            "." + std::to_string(ip >> 8 & 255) + "." + std::to_string(ip & 255);
 }
 
-/// Runs one call on a connection of its own, bounded in time.
+/// Runs one call on a new connection. Returns nothing on error or timeout.
 template <typename Result, typename Call>
 std::optional<Result> run_call(std::uint32_t ip, std::uint16_t port,
-                               span_us bound, Call call)
+                               span_us timeout, Call call)
 {
     std::optional<Result> result;
-    // The library reports a lost connection by exception; here it is one of
-    // the expected outcomes.
+    // EzRpcClient throws when the connection fails.
     const auto failed = kj::runCatchingExceptions([&] {
-        capnp::EzRpcClient client(ip_text(ip), port);
+        capnp::EzRpcClient client(to_dotted_decimal(ip), port);
         auto peer = client.getMain<wire::Peer>();
         auto& timer = client.getIoProvider().getTimer();
-        result = timer.timeoutAfter(bound * kj::MICROSECONDS, call(peer))
+        result = timer.timeoutAfter(timeout * kj::MICROSECONDS, call(peer))
                      .wait(client.getWaitScope());
     });
     if (failed != nullptr)
@@ -88,69 +87,70 @@
 
 } // namespace
 
-struct peer_server::running
+struct peer_server::server_state
 {
     std::thread thread;
     std::uint16_t port = 0;
     kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop;
 };
 
-peer_server::peer_server() : running_(std::make_unique<running>())
+peer_server::peer_server() : state_(std::make_unique<server_state>())
 {
 }
 
 std::unique_ptr<peer_server> peer_server::make(const std::string& ip,
                                                std::uint16_t port,
                                                peer_handlers handlers,
-                                               std::string& why)
+                                               std::string& error)
 {
-    std::unique_ptr<peer_server> s(new peer_server);
+    std::unique_ptr<peer_server> server(new peer_server);
     std::promise<std::string> started;
-    auto* r = s->running_.get();
-    r->thread = std::thread([&started, ip, port, r,
-                             handlers = std::move(handlers)]() mutable {
-        bool told = false;
+    auto* state = server->state_.get();
+    state->thread = std::thread([&started, ip, port, state,
+                                 handlers = std::move(handlers)]() mutable {
+        bool start_reported = false;
         const auto failed = kj::runCatchingExceptions([&] {
-            capnp::EzRpcServer server(
-                kj::heap<peer_service>(std::move(handlers)), ip, port);
-            auto& scope = server.getWaitScope();
-            r->port = static_cast<std::uint16_t>(server.getPort().wait(scope));
+            capnp::EzRpcServer rpc_server(
+                kj::heap<peer_service_impl>(std::move(handlers)), ip, port);
+            auto& scope = rpc_server.getWaitScope();
+            state->port =
+                static_cast<std::uint16_t>(rpc_server.getPort().wait(scope));
             auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
-            r->stop = kj::mv(pair.fulfiller);
-            told = true;
+            state->stop = kj::mv(pair.fulfiller);
+            start_reported = true;
             started.set_value("");
             pair.promise.wait(scope);
         });
-        KJ_IF_MAYBE (e, failed) {
-            if (!told)
-                started.set_value(e->getDescription().cStr());
+        KJ_IF_MAYBE (exception, failed) {
+            if (!start_reported)
+                started.set_value(exception->getDescription().cStr());
         }
     });
-    why = started.get_future().get();
-    if (!why.empty())
+    error = started.get_future().get();
+    if (!error.empty())
         return nullptr;
-    return s;
+    return server;
 }
 
 peer_server::~peer_server()
 {
-    if (running_->stop.get() != nullptr)
-        running_->stop->fulfill();
-    if (running_->thread.joinable())
-        running_->thread.join();
+    if (state_->stop.get() != nullptr)
+        state_->stop->fulfill();
+    if (state_->thread.joinable())
+        state_->thread.join();
 }
 
 std::uint16_t peer_server::port() const
 {
-    return running_->port;
+    return state_->port;
 }
 
 std::optional<revoke_reply> call_revoke(std::uint32_t ip, std::uint16_t port,
                                         const attempt_id& a, boot_id boot,
-                                        span_us bound)
+                                        span_us timeout)
 {
     const auto n =
-        run_call<std::uint8_t>(ip, port, bound, [&](wire::Peer::Client& c) {
+        run_call<std::uint8_t>(ip, port, timeout, [&](wire::Peer::Client& c) {
             auto q = c.revokeRequest();
             q.setAttempt(to_text(a));
             q.setBoot(static_cast<std::uint64_t>(boot));
@@ -162,10 +162,10 @@
 }
 
 std::optional<std::string> call_chunk(std::uint32_t ip, std::uint16_t port,
-                                      std::uint64_t hash, span_us bound)
+                                      std::uint64_t hash, span_us timeout)
 {
     using found = std::optional<std::string>;
-    return run_call<found>(ip, port, bound,
+    return run_call<found>(ip, port, timeout,
                            [&](wire::Peer::Client& c) {
                                auto q = c.chunkRequest();
                                q.setHash(hash);
@@ -182,9 +182,9 @@
 }
 
 std::optional<std::string> call_query(std::uint32_t ip, std::uint16_t port,
-                                      const std::string& json, span_us bound)
+                                      const std::string& json, span_us timeout)
 {
-    return run_call<std::string>(ip, port, bound, [&](wire::Peer::Client& c) {
+    return run_call<std::string>(ip, port, timeout, [&](wire::Peer::Client& c) {
         auto q = c.queryRequest();
         q.setRequest(json);
         return q.send().then(
--- a/src/rpc/peer_rpc.hpp
+++ b/src/rpc/peer_rpc.hpp
@@ -1,6 +1,5 @@
-// Cap'n Proto RPC between nodes, and from the operators' tool to a node:
-// revoke, chunks of the configuration, questions. Its event loop has a
-// thread of its own; calls into the node are passed to the request thread.
+// Cap'n Proto RPC between nodes, and from the command line tool to a node:
+// revocation of attempts, configuration chunks, queries.
 #pragma once
 
 #include "gate/gate_type.hpp"
@@ -14,7 +13,8 @@
 
 namespace jasminetray {
 
-/// What the server calls. Each may block for a moment; none may throw.
+/// Handlers of incoming calls. They run on the RPC thread, may block it for a
+/// short time, and must not throw.
 struct peer_handlers
 {
     std::function<std::optional<revoke_reply>(const attempt_id&, boot_id)>
@@ -23,42 +23,45 @@
     std::function<std::string(const std::string& json)> query;
 };
 
-/// A running server. Stops when destroyed.
+/// RPC server with its own event loop thread. The destructor stops it.
 class peer_server
 {
 public:
-    /// Starts listening, or gives nothing with `why` filled in.
-    /// @param ip IPv4 number
-    /// @param port 0 for any
+    /// Starts listening.
+    /// @param ip IPv4 address in dotted decimal
+    /// @param port 0 for any free port
+    /// @param error empty on success
+    /// @return null on error
     static std::unique_ptr<peer_server> make(const std::string& ip,
                                              std::uint16_t port,
                                              peer_handlers handlers,
-                                             std::string& why);
+                                             std::string& error);
 
     ~peer_server();
     peer_server(const peer_server&) = delete;
     peer_server& operator=(const peer_server&) = delete;
 
-    /// Port that it listens on.
     std::uint16_t port() const;
 
 private:
-    struct running;
+    struct server_state;
     peer_server();
-    std::unique_ptr<running> running_;
+    std::unique_ptr<server_state> state_;
 };
 
-/// Asks a node to revoke an attempt, on a new connection.
+/// Asks a node to revoke an attempt. Like the other calls, it opens a new
+/// connection, blocks, and returns nothing on error or timeout.
 std::optional<revoke_reply> call_revoke(std::uint32_t ip, std::uint16_t port,
                                         const attempt_id& a, boot_id boot,
-                                        span_us bound);
+                                        span_us timeout);
 
-/// Fetches a chunk from a node.
+/// Fetches a configuration chunk or manifest from a node; also returns nothing
+/// when the node does not have it.
 std::optional<std::string> call_chunk(std::uint32_t ip, std::uint16_t port,
-                                      std::uint64_t hash, span_us bound);
+                                      std::uint64_t hash, span_us timeout);
 
-/// Asks a node a question in JSON.
+/// Sends a query or an operator command in JSON; returns the JSON response.
 std::optional<std::string> call_query(std::uint32_t ip, std::uint16_t port,
-                                      const std::string& json, span_us bound);
+                                      const std::string& json, span_us timeout);
 
 } // namespace jasminetray
--- a/src/store/store_type.hpp
+++ b/src/store/store_type.hpp
@@ -1,6 +1,5 @@
-// The platform's store as this project sees it: rows in tables, objects, and
-// a feed of changes. A table of functions, so that tests put a small fake in
-// its place and only one client knows the wire.
+// Interface of the platform's store: versioned rows in tables, objects, and a
+// feed of changes. A struct of functions, so that tests can substitute a fake.
 #pragma once
 
 #include "base/names_type.hpp"
@@ -14,94 +13,87 @@
 
 namespace jasminetray {
 
-/// Why a call to the store gave no result.
 enum class store_error : std::uint8_t
 {
     none,
-    missing,     ///< no such row or object
-    conflict,    ///< a row has another version; nothing was written
-    refused,     ///< too many calls, or the store is busy: nothing was done
-    forbidden,   ///< the store does not let this system write there
-    full,        ///< no room for the object
-    too_old,     ///< the history that was asked for is gone; read it all
-    unreachable, ///< the call was never sent: nothing was written
-    unclear,     ///< no answer: a write may have taken effect, or may later
-    malformed,   ///< the answer could not be understood
+    missing,
+    conflict, ///< a row has another version; nothing was written
+    refused,  ///< rate limited or overloaded; nothing was done
+    forbidden,
+    full,        ///< no space for the object
+    too_old,     ///< the history is truncated; list all rows again
+    unreachable, ///< the call was not sent; nothing was written
+    unclear,     ///< outcome unknown; a write may still take effect
+    malformed,   ///< invalid response
 };
 
 inline constexpr std::array<std::string_view, 10> store_error_names = {
     "none", "missing", "conflict",    "refused", "forbidden",
     "full", "too-old", "unreachable", "unclear", "malformed"};
 
-/// Where a row stands.
 struct row_name
 {
     std::string table;
     std::string key;
 };
 
-/// A row.
 struct store_row
 {
-    std::uint64_t version = 0; ///< of the write that left it; 0 for "absent"
+    std::uint64_t version = 0; ///< of the last write; 0 for an absent row
     std::string value;
 };
 
-/// A row with its key, as lists and the feed give it.
+/// A row with its key, as returned by lists and the feed.
 struct keyed_row
 {
     std::string key;
     store_row row;
-    bool removed = false; ///< the feed's word that it is gone
+    bool removed = false; ///< set by the feed when the row was removed
 };
 
-/// One write of a transaction: all take effect or none.
+/// One write of a transaction. All writes of it take effect, or none.
 struct row_write
 {
     row_name name;
-    /// Version that the row must have, 0 for "absent"; nothing for any.
+    /// Required version of the row: 0 for an absent row, nothing for any.
     std::optional<std::uint64_t> expected;
     std::string value;
-    bool remove = false; ///< the row instead of writing it
+    bool remove = false; ///< instead of writing it
 };
 
-/// Rows of one table at one moment.
+/// Consistent snapshot of a table, or a part of its changes.
 struct row_list
 {
     std::vector<keyed_row> rows;
-    std::uint64_t version = 0; ///< newest of the whole store at that moment
-    /// That moment by the store's steady clock, in microseconds; nothing when
-    /// it is not told, or when more changes stand behind these rows.
-    std::optional<std::int64_t> told_at;
+    std::uint64_t version = 0; ///< newest version in the whole store
+    /// Time of the snapshot by the store's steady clock, in microseconds.
+    /// Absent when the store did not report it or more changes are pending.
+    std::optional<std::int64_t> store_time;
 };
 
-/// The store.
+/// Calls of the store. Each one sets `error`, to `none` on success.
 struct store_api
 {
-    /// Reads a row.
-    std::function<std::optional<store_row>(const row_name&, store_error& last)>
+    std::function<std::optional<store_row>(const row_name&, store_error& error)>
         read_row;
-    /// Writes rows in one transaction; false with `last` filled in.
-    std::function<bool(const std::vector<row_write>&, store_error& last)>
+    std::function<bool(const std::vector<row_write>&, store_error& error)>
         write_rows;
-    /// Reads all rows of a table.
     std::function<std::optional<row_list>(const std::string& table,
-                                          store_error& last)>
+                                          store_error& error)>
         list_rows;
-    /// Changes of a table after a version, oldest first; waits for the first
-    /// one. No rows when none came in time; `too_old` when the store has
-    /// dropped that part of its history.
+    /// Returns changes of a table after a version, oldest first. Waits up to
+    /// `wait` for the first one, and returns no rows when none occurred. Fails
+    /// with `too_old` when the store no longer keeps that part of its history.
     std::function<std::optional<row_list>(const std::string& table,
                                           std::uint64_t after, span_us wait,
-                                          store_error& last)>
+                                          store_error& error)>
         watch_rows;
-    /// Writes an object; the same name always has the same content.
+    /// Writes an object. Objects are immutable: a name has one content.
     std::function<bool(const std::string& name, const std::string& content,
-                       store_error& last)>
+                       store_error& error)>
         put_object;
-    /// Reads an object.
     std::function<std::optional<std::string>(const std::string& name,
-                                             store_error& last)>
+                                             store_error& error)>
         get_object;
 };
 
--- a/src/wire/gossip.capnp
+++ b/src/wire/gossip.capnp
@@ -1,5 +1,5 @@
-# Datagrams between nodes. Sizes are bounded by the sender; the receiver
-# refuses what exceeds its traversal limit.
+# Gossip datagrams between nodes. The sender bounds their size; the receiver
+# rejects messages that exceed its traversal limit.
 @0xb3f1d2a94c5e6077;
 
 using Cxx = import "/capnp/c++.capnp";
--- a/src/wire/wire_func.cpp
+++ b/src/wire/wire_func.cpp
@@ -1,4 +1,4 @@
-// Encoding and decoding of datagrams; see wire_func.hpp.
+// Frame layout, MAC and Cap'n Proto conversion of gossip messages.
 #include "wire/wire_func.hpp"
 
 #include "member/member_query.hpp"
@@ -18,30 +18,31 @@
 
 constexpr std::size_t mac_bytes = 16;
 constexpr std::uint32_t frame_version = 0x4a540001; // "JT", layout 1
-constexpr std::size_t cluster_at = sizeof(frame_version);
-constexpr std::size_t mac_at = cluster_at + sizeof(std::uint64_t);
-constexpr std::size_t body_at = mac_at + mac_bytes;
-constexpr std::uint64_t max_words = 16384; // traversal limit when reading
+constexpr std::size_t cluster_offset = sizeof(frame_version);
+constexpr std::size_t mac_offset = cluster_offset + sizeof(std::uint64_t);
+constexpr std::size_t body_offset = mac_offset + mac_bytes;
+constexpr std::uint64_t max_traversal_words = 16384;
 
 using mac = std::array<unsigned char, mac_bytes>;
 
-const unsigned char* bytes_of(const char* s)
+const unsigned char* as_bytes(const char* s)
 {
     return reinterpret_cast<const unsigned char*>(s);
 }
 
-/// MAC over the cluster's id and the body.
-mac sign(std::string_view frame, const std::string& key)
+/// Computes the MAC over the cluster's id and the body.
+mac compute_mac(std::string_view frame, const std::string& key)
 {
     mac m{};
-    std::array<unsigned char, crypto_generichash_KEYBYTES_MAX> hashed{};
-    crypto_generichash(hashed.data(), hashed.size(), bytes_of(key.data()),
-                       key.size(), nullptr, 0);
+    std::array<unsigned char, crypto_generichash_KEYBYTES_MAX> hashed_key{};
+    crypto_generichash(hashed_key.data(), hashed_key.size(),
+                       as_bytes(key.data()), key.size(), nullptr, 0);
     crypto_generichash_state state;
-    crypto_generichash_init(&state, hashed.data(), hashed.size(), m.size());
-    crypto_generichash_update(&state, bytes_of(frame.data()), mac_at);
-    crypto_generichash_update(&state, bytes_of(frame.data() + body_at),
-                              frame.size() - body_at);
+    crypto_generichash_init(&state, hashed_key.data(), hashed_key.size(),
+                            m.size());
+    crypto_generichash_update(&state, as_bytes(frame.data()), mac_offset);
+    crypto_generichash_update(&state, as_bytes(frame.data() + body_offset),
+                              frame.size() - body_offset);
     crypto_generichash_final(&state, m.data(), m.size());
     return m;
 }
@@ -150,7 +151,7 @@
             r.getSuspect()};
 }
 
-constexpr std::size_t max_reports = 64; // of crashes, in a message
+constexpr std::size_t max_crash_reports = 64; // per message
 
 void put_quarantine(wire::Message::Builder b, const quarantine_message& q)
 {
@@ -171,7 +172,7 @@
 
 bool get_quarantine(wire::Message::Reader r, quarantine_message& q)
 {
-    if (r.getCrashes().size() > max_reports ||
+    if (r.getCrashes().size() > max_crash_reports ||
         (r.getCrashDigest().size() != 0 &&
          r.getCrashDigest().size() != quarantine_buckets))
         return false;
@@ -272,21 +273,21 @@
     return get_lists(r, m);
 }
 
-wire_error check_frame(std::string_view bytes, const cluster_keys& keys)
+wire_error verify_frame(std::string_view bytes, const cluster_keys& keys)
 {
     std::uint32_t version = 0;
     std::uint64_t cluster = 0;
-    if (bytes.size() < body_at || bytes.size() > max_datagram)
+    if (bytes.size() < body_offset || bytes.size() > max_datagram)
         return wire_error::too_short;
     std::memcpy(&version, bytes.data(), sizeof(version));
-    std::memcpy(&cluster, bytes.data() + cluster_at, sizeof(cluster));
+    std::memcpy(&cluster, bytes.data() + cluster_offset, sizeof(cluster));
     if (version != frame_version)
         return wire_error::other_version;
     if (cluster != keys.cluster)
         return wire_error::other_cluster;
     for (const auto& key : keys.keys) {
-        const auto m = sign(bytes, key);
-        if (sodium_memcmp(m.data(), bytes.data() + mac_at, m.size()) == 0)
+        const auto m = compute_mac(bytes, key);
+        if (sodium_memcmp(m.data(), bytes.data() + mac_offset, m.size()) == 0)
             return wire_error::none;
     }
     return wire_error::bad_mac;
@@ -294,7 +295,7 @@
 
 } // namespace
 
-std::string encode(const gossip_message& m, const cluster_keys& keys)
+std::string encode_message(const gossip_message& m, const cluster_keys& keys)
 {
     capnp::MallocMessageBuilder builder;
     auto b = builder.initRoot<wire::Message>();
@@ -321,37 +322,39 @@
     kj::VectorOutputStream stream;
     capnp::writePackedMessage(stream, builder);
     const auto body = stream.getArray();
-    std::string frame(body_at, '\0');
+    std::string frame(body_offset, '\0');
     std::memcpy(frame.data(), &frame_version, sizeof(frame_version));
-    std::memcpy(frame.data() + cluster_at, &keys.cluster, sizeof(keys.cluster));
+    std::memcpy(frame.data() + cluster_offset, &keys.cluster,
+                sizeof(keys.cluster));
     frame.append(reinterpret_cast<const char*>(body.begin()), body.size());
-    const auto signature = sign(frame, keys.keys.front());
-    std::memcpy(frame.data() + mac_at, signature.data(), signature.size());
+    const auto tag = compute_mac(frame, keys.keys.front());
+    std::memcpy(frame.data() + mac_offset, tag.data(), tag.size());
     return frame;
 }
 
-std::optional<gossip_message> decode(std::string_view bytes,
-                                     const cluster_keys& keys, wire_error& last)
+std::optional<gossip_message> decode_message(std::string_view bytes,
+                                             const cluster_keys& keys,
+                                             wire_error& error)
 {
-    last = check_frame(bytes, keys);
-    if (last != wire_error::none)
+    error = verify_frame(bytes, keys);
+    if (error != wire_error::none)
         return std::nullopt;
     gossip_message m;
-    bool within = false;
-    // Cap'n Proto reports malformed input by exception; it ends here.
+    bool in_bounds = false;
+    // Cap'n Proto throws on malformed input.
     const auto failed = kj::runCatchingExceptions([&] {
         kj::ArrayInputStream stream(kj::arrayPtr(
-            bytes_of(bytes.data() + body_at), bytes.size() - body_at));
+            as_bytes(bytes.data() + body_offset), bytes.size() - body_offset));
         capnp::ReaderOptions options;
-        options.traversalLimitInWords = max_words;
+        options.traversalLimitInWords = max_traversal_words;
         capnp::PackedMessageReader reader(stream, options);
-        within = get_message(reader.getRoot<wire::Message>(), m);
+        in_bounds = get_message(reader.getRoot<wire::Message>(), m);
     });
     if (failed != nullptr)
-        last = wire_error::malformed;
-    else if (!within)
-        last = wire_error::out_of_bounds;
-    if (last != wire_error::none)
+        error = wire_error::malformed;
+    else if (!in_bounds)
+        error = wire_error::out_of_bounds;
+    if (error != wire_error::none)
         return std::nullopt;
     return m;
 }
--- a/src/wire/wire_func.hpp
+++ b/src/wire/wire_func.hpp
@@ -1,6 +1,6 @@
-// Datagrams as bytes: a frame with the cluster's id and a MAC, then a packed
-// Cap'n Proto message. Whatever does not verify is dropped before it is
-// parsed, so a stranger cannot reach the parser.
+// Codec of gossip datagrams: a frame with the cluster's id and a MAC, then a
+// packed Cap'n Proto message. The MAC is verified before the message is parsed,
+// so unauthenticated input never reaches the parser.
 #pragma once
 
 #include "base/names_type.hpp"
@@ -14,15 +14,14 @@
 
 namespace jasminetray {
 
-/// Keys of a cluster. Two are valid at once so that keys can be changed node
-/// by node: first add the new one as second, then swap, then drop the old.
+/// Keys of a cluster. Two keys may be valid at once, which allows rotation node
+/// by node: add the new key as second, swap both, then remove the old one.
 struct cluster_keys
 {
     std::uint64_t cluster = 0;     ///< hash of the cluster's name
-    std::vector<std::string> keys; ///< first one signs; 1 or 2 of them
+    std::vector<std::string> keys; ///< 1 or 2 keys; the first one signs
 };
 
-/// Why a datagram was dropped.
 enum class wire_error : std::uint8_t
 {
     none,
@@ -38,13 +37,15 @@
     "none",    "too-short", "other-version", "other-cluster",
     "bad-mac", "malformed", "out-of-bounds"};
 
-constexpr std::size_t max_datagram = 8192; ///< bytes, both ways
+constexpr std::size_t max_datagram = 8192; ///< bytes, sent or received
 
-/// Bytes of a message.
-std::string encode(const gossip_message& m, const cluster_keys& keys);
+/// Returns the datagram of a message, signed with the first key.
+std::string encode_message(const gossip_message& m, const cluster_keys& keys);
 
-/// Message of bytes, or nothing with `last` saying why.
-std::optional<gossip_message>
-decode(std::string_view bytes, const cluster_keys& keys, wire_error& last);
+/// Verifies and parses a datagram. Sets `error` to `none` on success.
+/// @return the message, or nothing with the reason in `error`
+std::optional<gossip_message> decode_message(std::string_view bytes,
+                                             const cluster_keys& keys,
+                                             wire_error& error);
 
 } // namespace jasminetray
--- a/test/fake_store.cpp
+++ b/test/fake_store.cpp
@@ -1,38 +1,39 @@
-// The store in memory; see fake_store.hpp.
+// In-memory implementation of the store interface.
 #include "fake_store.hpp"
 
 namespace jasminetray {
 
 namespace {
 
-/// Whether a call goes through; counts writes towards an outage.
-bool reach(fake_store& p, bool write, store_error& last)
+/// Fails when the store is down; counts writes towards the configured outage.
+bool begin_call(fake_store& store, bool write, store_error& error)
 {
-    if (p.down) {
-        last = store_error::unreachable;
+    if (store.down) {
+        error = store_error::unreachable;
         return false;
     }
-    if (write && p.down_after_writes > 0 && --p.down_after_writes == 0)
-        p.down = true;
-    last = store_error::none;
+    if (write && store.down_after_writes > 0 && --store.down_after_writes == 0)
+        store.down = true;
+    error = store_error::none;
     return true;
 }
 
-bool answer_write(fake_store& p, store_error& last)
+bool finish_write(fake_store& store, store_error& error)
 {
-    if (p.lost_write_responses == 0)
+    if (store.lost_write_responses == 0)
         return true;
-    --p.lost_write_responses;
-    last = store_error::unclear;
+    --store.lost_write_responses;
+    error = store_error::unclear;
     return false;
 }
 
-bool expected(const fake_store& p, const std::vector<row_write>& writes)
+bool versions_match(const fake_store& store,
+                    const std::vector<row_write>& writes)
 {
     for (const auto& w : writes) {
-        const auto it = p.table.find(w.name.key);
-        const auto has = it == p.table.end() ? 0 : it->second.version;
-        if (p.check_expected && w.expected && has != *w.expected)
+        const auto it = store.table.find(w.name.key);
+        const auto has = it == store.table.end() ? 0 : it->second.version;
+        if (store.check_expected && w.expected && has != *w.expected)
             return false;
     }
     return true;
@@ -40,51 +41,51 @@
 
 } // namespace
 
-store_api make_fake_store(const std::shared_ptr<fake_store>& p)
+store_api make_fake_store(const std::shared_ptr<fake_store>& store)
 {
     store_api api;
-    api.read_row = [p](const row_name& name, store_error& last) {
+    api.read_row = [store](const row_name& name, store_error& error) {
         std::optional<store_row> row;
-        if (!reach(*p, false, last))
+        if (!begin_call(*store, false, error))
             return row;
-        const auto it = p->table.find(name.key);
-        if (it == p->table.end())
-            last = store_error::missing;
+        const auto it = store->table.find(name.key);
+        if (it == store->table.end())
+            error = store_error::missing;
         else
             row = it->second;
         return row;
     };
-    api.write_rows = [p](const std::vector<row_write>& writes,
-                         store_error& last) {
-        if (!reach(*p, true, last))
+    api.write_rows = [store](const std::vector<row_write>& writes,
+                             store_error& error) {
+        if (!begin_call(*store, true, error))
             return false;
-        if (!expected(*p, writes)) {
-            last = store_error::conflict;
+        if (!versions_match(*store, writes)) {
+            error = store_error::conflict;
             return false;
         }
-        ++p->version;
+        ++store->version;
         for (const auto& w : writes) {
             if (w.remove)
-                p->table.erase(w.name.key);
+                store->table.erase(w.name.key);
             else
-                p->table[w.name.key] = {p->version, w.value};
+                store->table[w.name.key] = {store->version, w.value};
         }
-        return answer_write(*p, last);
+        return finish_write(*store, error);
     };
-    api.put_object = [p](const std::string& name, const std::string& content,
-                         store_error& last) {
-        if (!reach(*p, true, last))
+    api.put_object = [store](const std::string& name,
+                             const std::string& content, store_error& error) {
+        if (!begin_call(*store, true, error))
             return false;
-        p->objects[name] = content;
+        store->objects[name] = content;
         return true;
     };
-    api.get_object = [p](const std::string& name, store_error& last) {
+    api.get_object = [store](const std::string& name, store_error& error) {
         std::optional<std::string> found;
-        if (!reach(*p, false, last))
+        if (!begin_call(*store, false, error))
             return found;
-        const auto it = p->objects.find(name);
-        if (it == p->objects.end())
-            last = store_error::missing;
+        const auto it = store->objects.find(name);
+        if (it == store->objects.end())
+            error = store_error::missing;
         else
             found = it->second;
         return found;
