--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -567,8 +567,8 @@
     if (is_hosted(s)) {
         p.state.dialect = make_platform_dialect();
         apply_hosted_policies(p.state);
-        accept_on(p, p.hosted_control, serve_platform);
-        accept_on(p, p.hosted_ready, serve_platform);
+        accept_on(p, p.hosted_control, serve_platform_connection);
+        accept_on(p, p.hosted_ready, serve_platform_connection);
     }
     receive_datagrams(p);
     load_quarantine_rows(p.state);
