--- a/src/load/load_run.cpp
+++ b/src/load/load_run.cpp
@@ -1,4 +1,4 @@
-// Open-loop callers; see load_type.hpp.
+// Open-loop load generator; see load_type.hpp.
 #include "load/load_type.hpp"
 
 #include "base/random_func.hpp"
@@ -26,10 +26,9 @@
 using string_request = http::request<http::string_body>;
 using string_response = http::response<http::string_body>;
 
-/// A caller's connection to an entry node.
-struct caller_link
+struct caller_connection
 {
-    explicit caller_link(asio::io_context& ctx) : stream(ctx)
+    explicit caller_connection(asio::io_context& ctx) : stream(ctx)
     {
     }
 
@@ -37,223 +36,232 @@
     beast::flat_buffer buf;
 };
 
-/// A run in progress.
-struct load_run
+struct load_generator
 {
-    explicit load_run(const load_plan& p) : plan(p), timer(ctx)
+    explicit load_generator(const load_options& p) : options(p), timer(ctx)
     {
         rng.value = p.seed;
         idle.resize(p.entries.size());
     }
 
-    const load_plan& plan;
+    const load_options& options;
     asio::io_context ctx{1};
     asio::steady_timer timer;
     random_state rng;
-    load_findings found;
-    std::vector<std::vector<std::unique_ptr<caller_link>>> idle; ///< by entry
-    int open = 0;
-    mono_us began = 0;
-    std::uint64_t serial = 0;
+    load_results results;
+    std::vector<std::vector<std::unique_ptr<caller_connection>>>
+        idle; ///< by entry
+    int in_flight = 0;
+    mono_us started_at = 0;
+    std::uint64_t last_id = 0;
 };
 
-std::string expected_body(const load_plan& p, const std::string& id)
+std::string expected_body(const load_options& options, const std::string& id)
 {
     return "answer " + id + " " +
-           std::string(static_cast<std::size_t>(p.answer_bytes), 'x') + " end";
+           std::string(static_cast<std::size_t>(options.answer_bytes), 'x') +
+           " end";
 }
 
-std::string field(const string_response& r, const char* name)
+std::string header_value(const string_response& r, const char* name)
 {
     const auto it = r.find(name);
     return it == r.end() ? std::string() : std::string(it->value());
 }
 
-load_outcome judge(const load_plan& p, const std::string& id,
-                   const string_response& r)
+load_outcome classify_response(const load_options& options,
+                               const std::string& id, const string_response& r)
 {
-    const auto outcome = field(r, "jasminetray-outcome");
+    const auto outcome = header_value(r, "jasminetray-outcome");
     if (outcome == "not-run")
         return load_outcome::not_run;
     if (outcome == "unknown")
         return load_outcome::unknown;
-    if (field(r, "x-shed") == "1")
+    if (header_value(r, "x-shed") == "1")
         return load_outcome::not_run;
-    const bool own = r.body() == expected_body(p, id);
+    const bool matches = r.body() == expected_body(options, id);
     if (r.result_int() >= 500)
-        return own ? load_outcome::failed : load_outcome::wrong;
-    return own && r.result_int() == 200 ? load_outcome::answered
-                                        : load_outcome::wrong;
+        return matches ? load_outcome::failed : load_outcome::wrong;
+    return matches && r.result_int() == 200 ? load_outcome::answered
+                                            : load_outcome::wrong;
 }
 
-std::unique_ptr<caller_link> open_link(load_run& l, std::size_t entry,
-                                       const asio::yield_context& y)
+std::unique_ptr<caller_connection>
+acquire_connection(load_generator& gen, std::size_t entry,
+                   const asio::yield_context& y)
 {
-    auto& idle = l.idle[entry];
+    auto& idle = gen.idle[entry];
     if (!idle.empty()) {
-        auto link = std::move(idle.back());
+        auto connection = std::move(idle.back());
         idle.pop_back();
-        return link;
+        return connection;
     }
-    auto link = std::make_unique<caller_link>(l.ctx);
-    const auto& to = l.plan.entries[entry];
+    auto connection = std::make_unique<caller_connection>(gen.ctx);
+    const auto& to = gen.options.entries[entry];
     beast::error_code ec;
-    link->stream.expires_after(std::chrono::seconds(1));
-    link->stream.async_connect(
+    connection->stream.expires_after(std::chrono::seconds(1));
+    connection->stream.async_connect(
         tcp::endpoint(asio::ip::make_address_v4(to.ip), to.port), y[ec]);
     if (ec)
         return nullptr;
-    link->stream.socket().set_option(tcp::no_delay(true), ec);
-    return link;
+    connection->stream.socket().set_option(tcp::no_delay(true), ec);
+    return connection;
 }
 
-string_request make_request(const load_run& l, const load_record& rec,
+string_request make_request(const load_generator& gen, const load_record& rec,
                             const std::string& path)
 {
     string_request q(rec.idempotent ? http::verb::get : http::verb::post, path,
                      11);
     q.set(http::field::host, "load");
     q.set("x-load-id", rec.id);
-    q.set("x-caller-centre", l.plan.centre);
+    q.set("x-caller-centre", gen.options.data_centre);
     if (!rec.idempotent)
         q.body() = "work " + rec.id;
     q.prepare_payload();
     return q;
 }
 
-/// Reads an answer; tells whether its head came.
-beast::error_code read_answer(caller_link& link, string_response& answer,
-                              bool& head, const asio::yield_context& y)
+/// Reads a response; `head_received` is set once its header is complete.
+beast::error_code read_answer(caller_connection& connection,
+                              string_response& answer, bool& head_received,
+                              const asio::yield_context& y)
 {
     http::response_parser<http::string_body> parser;
     parser.body_limit(boost::none);
     beast::error_code ec;
-    http::async_read_header(link.stream, link.buf, parser, y[ec]);
-    head = !ec;
+    http::async_read_header(connection.stream, connection.buf, parser, y[ec]);
+    head_received = !ec;
     if (!ec)
-        http::async_read(link.stream, link.buf, parser, y[ec]);
+        http::async_read(connection.stream, connection.buf, parser, y[ec]);
     if (!ec)
         answer = parser.release();
     return ec;
 }
 
-void run_one(load_run& l, load_record& rec, const std::string& path,
-             std::size_t entry, const asio::yield_context& y)
+void send_request(load_generator& gen, load_record& rec,
+                  const std::string& path, std::size_t entry,
+                  const asio::yield_context& y)
 {
-    const auto began = mono_now();
-    auto link = open_link(l, entry, y);
-    if (!link) {
-        // Refused by the network: it plainly did not run.
+    const auto started_at = mono_now();
+    auto connection = acquire_connection(gen, entry, y);
+    if (!connection) {
+        // Without a connection, the request cannot have been executed.
         rec.outcome = load_outcome::not_run;
         rec.reason = "no-connection";
         return;
     }
-    auto q = make_request(l, rec, path);
-    link->stream.expires_after(std::chrono::milliseconds(
-        static_cast<std::int64_t>(l.plan.bound_s * 1000)));
+    auto q = make_request(gen, rec, path);
+    connection->stream.expires_after(std::chrono::milliseconds(
+        static_cast<std::int64_t>(gen.options.timeout_s * 1000)));
     beast::error_code ec;
-    http::async_write(link->stream, q, y[ec]);
+    http::async_write(connection->stream, q, y[ec]);
     string_response answer;
-    bool head = false;
+    bool head_received = false;
     if (!ec)
-        ec = read_answer(*link, answer, head, y);
-    rec.took_us = mono_now() - began;
+        ec = read_answer(*connection, answer, head_received, y);
+    rec.duration_us = mono_now() - started_at;
     if (ec) {
-        rec.outcome = head ? load_outcome::cut : load_outcome::unanswered;
+        rec.outcome =
+            head_received ? load_outcome::cut : load_outcome::unanswered;
         rec.reason = ec.message();
         return;
     }
-    rec.outcome = judge(l.plan, rec.id, answer);
-    rec.reason = field(answer, "jasminetray-reason");
-    rec.request = field(answer, "jasminetray-request");
-    rec.retry_said = !field(answer, "jasminetray-retry-after-ms").empty();
+    rec.outcome = classify_response(gen.options, rec.id, answer);
+    rec.reason = header_value(answer, "jasminetray-reason");
+    rec.request_id = header_value(answer, "jasminetray-request");
+    rec.has_retry_after =
+        !header_value(answer, "jasminetray-retry-after-ms").empty();
     if (answer.keep_alive())
-        l.idle[entry].push_back(std::move(link));
+        gen.idle[entry].push_back(std::move(connection));
 }
 
-void start_one(load_run& l)
+void start_request(load_generator& gen)
 {
-    if (l.open >= l.plan.max_open) {
-        ++l.found.skipped;
+    if (gen.in_flight >= gen.options.max_in_flight) {
+        ++gen.results.skipped;
         return;
     }
-    ++l.open;
+    ++gen.in_flight;
     auto rec = std::make_shared<load_record>();
-    rec->id = l.plan.label + "-" + std::to_string(l.plan.seed) + "-" +
-              std::to_string(++l.serial);
-    rec->idempotent = random_unit(l.rng) >= l.plan.non_idempotent;
-    rec->sent_at_us = mono_now() - l.began;
-    const auto path = l.plan.paths[random_below(l.rng, l.plan.paths.size())];
-    const auto entry = random_below(l.rng, l.plan.entries.size());
+    rec->id = gen.options.label + "-" + std::to_string(gen.options.seed) + "-" +
+              std::to_string(++gen.last_id);
+    rec->idempotent = random_unit(gen.rng) >= gen.options.non_idempotent_share;
+    rec->sent_at_us = mono_now() - gen.started_at;
+    const auto path =
+        gen.options.paths[random_below(gen.rng, gen.options.paths.size())];
+    const auto entry = random_below(gen.rng, gen.options.entries.size());
     asio::spawn(
-        l.ctx,
-        [&l, rec, path, entry](const asio::yield_context& y) {
-            run_one(l, *rec, path, entry, y);
-            l.found.records.push_back(*rec);
-            --l.open;
+        gen.ctx,
+        [&gen, rec, path, entry](const asio::yield_context& y) {
+            send_request(gen, *rec, path, entry, y);
+            gen.results.records.push_back(*rec);
+            --gen.in_flight;
         },
         asio::detached);
 }
 
-/// Starts requests at exponential intervals, whether or not former ones
-/// have ended: slow answers must not slow the questions.
-void start_next(load_run& l, mono_us at)
+/// Starts requests at exponentially distributed intervals, independent of
+/// responses.
+void schedule_next(load_generator& gen, mono_us at)
 {
-    l.timer.expires_after(
+    gen.timer.expires_after(
         std::chrono::microseconds(std::max<span_us>(0, at - mono_now())));
-    l.timer.async_wait([&l, at](beast::error_code ec) {
+    gen.timer.async_wait([&gen, at](beast::error_code ec) {
         if (ec)
             return;
         auto next = at;
         while (next <= mono_now()) {
-            if (static_cast<double>(next - l.began) >=
-                l.plan.seconds * us_per_s)
+            if (static_cast<double>(next - gen.started_at) >=
+                gen.options.seconds * us_per_s)
                 return;
-            start_one(l);
-            next += static_cast<span_us>(us_per_s / l.plan.rate *
-                                         random_exponential(l.rng));
+            start_request(gen);
+            next += static_cast<span_us>(us_per_s / gen.options.rate *
+                                         random_exponential(gen.rng));
         }
-        start_next(l, next);
+        schedule_next(gen, next);
     });
 }
 
-void collect_runs(const load_plan& plan, load_findings& f)
+void read_execution_logs(const load_options& options, load_results& results)
 {
-    for (const auto& name : plan.runs_files) {
+    for (const auto& name : options.execution_logs) {
         std::ifstream in(name);
-        f.runs_known = f.runs_known && in.good();
+        results.execution_logs_complete =
+            results.execution_logs_complete && in.good();
         std::string id;
         while (std::getline(in, id))
-            ++f.runs[id];
+            ++results.executions[id];
     }
 }
 
 } // namespace
 
-load_findings run_load(const load_plan& plan)
+load_results run_load(const load_options& options)
 {
-    load_run l(plan);
-    l.began = mono_now();
-    start_next(l, l.began);
-    l.ctx.run();
-    collect_runs(plan, l.found);
-    return std::move(l.found);
+    load_generator gen(options);
+    gen.started_at = mono_now();
+    schedule_next(gen, gen.started_at);
+    gen.ctx.run();
+    read_execution_logs(options, gen.results);
+    return std::move(gen.results);
 }
 
-load_verdict judge_load(const load_findings& f)
+load_summary summarize_load(const load_results& results)
 {
-    load_verdict v;
-    v.sent = f.records.size();
-    for (const auto& r : f.records) {
-        ++v.outcomes[r.outcome];
-        const auto it = f.runs.find(r.id);
-        const int ran = it == f.runs.end() ? 0 : it->second;
-        v.double_runs += !r.idempotent && ran > 1 ? 1 : 0;
-        v.false_not_run +=
-            !r.idempotent && r.outcome == load_outcome::not_run && ran > 0 ? 1
-                                                                           : 0;
+    load_summary summary;
+    summary.sent = results.records.size();
+    for (const auto& r : results.records) {
+        ++summary.outcomes[r.outcome];
+        const auto it = results.executions.find(r.id);
+        const int count = it == results.executions.end() ? 0 : it->second;
+        summary.duplicate_executions += !r.idempotent && count > 1 ? 1 : 0;
+        summary.false_not_run +=
+            !r.idempotent && r.outcome == load_outcome::not_run && count > 0
+                ? 1
+                : 0;
     }
-    return v;
+    return summary;
 }
 
 } // namespace jasminetray
--- a/src/load/load_type.hpp
+++ b/src/load/load_type.hpp
@@ -1,6 +1,5 @@
-// The load tool's plan and findings. Every answer is compared with its own
-// request, and the backend servers' own counts of what ran decide whether a
-// refusal told the truth.
+// Options and results of the load generator. Responses are matched with their
+// requests, and outcomes with the execution logs of the backend servers.
 #pragma once
 
 #include "base/text_func.hpp"
@@ -14,73 +13,70 @@
 
 namespace jasminetray {
 
-/// What to send.
-struct load_plan
+struct load_options
 {
-    std::vector<host_port> entries;      ///< nodes that callers use
-    std::vector<std::string> runs_files; ///< written by backend servers
-    double rate = 100;                   ///< requests a second, open loop
+    std::vector<host_port> entries;          ///< addresses of entry nodes
+    std::vector<std::string> execution_logs; ///< files of backend servers
+    double rate = 100;                       ///< requests per second, open loop
     double seconds = 5;
-    double non_idempotent = 0.3;    ///< share of POSTs
-    std::vector<std::string> paths; ///< one is drawn per request
-    std::string centre;             ///< data centre of these callers
-    int answer_bytes = 0;           ///< padding that answers must have
+    double non_idempotent_share = 0.3; ///< share of POSTs
+    std::vector<std::string> paths;    ///< chosen at random per request
+    std::string data_centre;           ///< data centre of the callers
+    int answer_bytes = 0;              ///< expected padding of responses
     std::uint64_t seed = 1;
-    double bound_s = 10;        ///< for one request
-    int max_open = 2000;        ///< requests at once; beyond it skipped
-    std::string label = "load"; ///< part of every load id
+    double timeout_s = 10;      ///< per request
+    int max_in_flight = 2000;   ///< excess requests are skipped
+    std::string label = "load"; ///< prefix of request ids
 };
 
-/// What became of one request, as the caller saw it.
+/// Outcome of a request as seen by the caller.
 enum class load_outcome : std::uint8_t
 {
-    answered,   ///< 200 with its own whole answer
-    failed,     ///< a whole answer that reports the server's failure
-    not_run,    ///< refused as not run
-    unknown,    ///< refused as unknown
-    cut,        ///< visibly cut after the head
-    wrong,      ///< somebody else's answer, or a damaged one
-    unanswered, ///< the connection ended without any answer
+    answered,   ///< status 200 with the expected body
+    failed,     ///< status 5xx with the expected body
+    not_run,    ///< rejected without execution
+    unknown,    ///< rejected, may have been executed
+    cut,        ///< connection closed within the body
+    wrong,      ///< unexpected status or body
+    unanswered, ///< connection closed without a response
 };
 
 inline constexpr std::array<std::string_view, 7> load_outcome_names = {
     "answered", "failed", "not_run", "unknown", "cut", "wrong", "unanswered"};
 
-/// One request's fate.
+/// Result of a request.
 struct load_record
 {
     std::string id;
     bool idempotent = true;
     load_outcome outcome = load_outcome::unanswered;
-    std::int64_t took_us = 0;
+    std::int64_t duration_us = 0;
     std::int64_t sent_at_us = 0; ///< since the start of the run
     std::string reason;
-    std::string request;     ///< id that the entry node gave it
-    bool retry_said = false; ///< a refusal that told when to come back
+    std::string request_id;       ///< id assigned by the entry node
+    bool has_retry_after = false; ///< rejected with a retry delay
 };
 
-/// Everything that was found.
-struct load_findings
+struct load_results
 {
     std::vector<load_record> records;
-    std::map<std::string, int> runs; ///< by load id, over all backend servers
-    std::uint64_t skipped = 0;       ///< not sent: too many were open
-    bool runs_known = true;          ///< every backend server was asked
+    std::map<std::string, int> executions; ///< count by request id
+    std::uint64_t skipped = 0;             ///< exceeded max_in_flight
+    bool execution_logs_complete = true;   ///< all logs were readable
 };
 
-/// Counts that the promises are about.
-struct load_verdict
+struct load_summary
 {
     std::size_t sent = 0;
     std::map<load_outcome, std::size_t> outcomes;
-    std::size_t double_runs = 0;   ///< non-idempotent work that ran twice
-    std::size_t false_not_run = 0; ///< refused as not run, but it ran
+    std::size_t duplicate_executions = 0; ///< of non-idempotent requests
+    std::size_t false_not_run = 0;        ///< reported as not run but executed
 };
 
-/// Sends the load and collects what came of it.
-load_findings run_load(const load_plan& plan);
+/// Sends the load, waits for all responses and reads the execution logs.
+load_results run_load(const load_options& options);
 
-/// Compares outcomes with what ran.
-load_verdict judge_load(const load_findings& f);
+/// Compares outcomes with the execution logs.
+load_summary summarize_load(const load_results& results);
 
 } // namespace jasminetray
--- a/src/stand_in/platform_main.cpp
+++ b/src/stand_in/platform_main.cpp
@@ -1,5 +1,5 @@
 // jasminetray-platform: a stand-in for the platform's store; see
-// store_state.hpp for what it serves and which faults it knows.
+// store_state.hpp for its calls and faults.
 #include "stand_in/store_state.hpp"
 
 #include <boost/asio/signal_set.hpp>
@@ -8,7 +8,7 @@
 
 DEFINE_string(ip, "127.0.0.1", "address to listen on");
 DEFINE_int32(port, 0, "port to listen on; 0 for any");
-DEFINE_string(ready_file, "", "written with the real port when serving");
+DEFINE_string(ready_file, "", "file that receives the bound port once serving");
 
 int main(int argc, char** argv)
 {
--- a/src/stand_in/stand_in_server.cpp
+++ b/src/stand_in/stand_in_server.cpp
@@ -1,4 +1,4 @@
-// Server of the stand-ins; see stand_in_server.hpp.
+// HTTP server of the stand-ins; see stand_in_server.hpp.
 #include "stand_in/stand_in_server.hpp"
 
 #include <cstdio>
@@ -10,7 +10,7 @@
 namespace {
 
 using tcp = asio::ip::tcp;
-constexpr std::uint64_t max_body = 64 << 20;
+constexpr std::uint64_t max_body_bytes = 64 << 20;
 
 struct server
 {
@@ -27,21 +27,21 @@
                       const asio::yield_context& y)
 {
     beast::flat_buffer buf;
-    bool keep = true;
-    while (keep) {
+    bool keep_alive = true;
+    while (keep_alive) {
         http::request_parser<http::string_body> parser;
-        parser.body_limit(max_body);
+        parser.body_limit(max_body_bytes);
         beast::error_code ec;
         http::async_read(stream, buf, parser, y[ec]);
         if (ec)
             break;
         stand_in_response r(http::status::ok, 11);
         r.keep_alive(parser.get().keep_alive());
-        if (s.handler(parser.get(), r, stream, y) == stand_in_end::drop)
+        if (s.handler(parser.get(), r, stream, y) == stand_in_action::close)
             break;
         r.prepare_payload();
         http::async_write(stream, r, y[ec]);
-        keep = !ec && r.keep_alive();
+        keep_alive = !ec && r.keep_alive();
     }
 }
 
--- a/test/platform_crashes.py
+++ b/test/platform_crashes.py
@@ -1,18 +1,7 @@
-"""One request ends every backend server process that runs it, and it comes
-again and again at any node. Its service loses one process after the other, and
-the ordinary work that ran beside it is lost with them. Each time it comes with
-another id, so it was new work to every node: nothing was remembered from one
-request to the next, and each node guards one backend server and saw few ends.
+"""Tests the quarantine of requests that crash backend servers.
 
-Of 72 ends of a run 38 had the one fingerprint running and 34 the other one,
-and no end had neither; the next most frequent fingerprint was running at 2:
-
-    3016 worker_crashed w2 evidence=refused running=cbf9ff8df2cf7b2f
-    3016 worker_crashed w6 evidence=refused running=cbf9ff8df2cf7b2f
-
-It was sent as a first attempt 20 times of 51, and where it must not be repeated
-63 times of 64, so retries are not the cause; 33 processes had nothing else to
-do when they ended, so load is not.
+A request that crashes every process it runs on must be refused on all nodes
+after a few crashes, although it arrives with a new id each time.
 """
 
 import random
@@ -29,83 +18,83 @@
 import fleet
 
 NODES = 8
-STABLE_S = 3  # after the third crash, until when all nodes must know
-MAX_RETRIES = 3  # that may still reach backend servers after that
-CRASH_S = 0.07  # from its arrival until the process ends
-BACK_S = 2  # until another process has taken its place
+CONTAINMENT_S = 3  # allowed time from the third crash until containment
+MAX_RETRIES = 3  # arrivals that are allowed afterwards
+CRASH_S = 0.07  # from the arrival until the crash
+RESTART_S = 2  # from the crash until the restart
 CRASHING = b"crash"
 
 
 def reset(connection):
-    """Ends a connection as the end of its process does."""
+    """Resets a connection, as a crash of its process does."""
     try:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                               struct.pack("ii", 1, 0))
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        pass  # the other side has closed it
+        pass  # closed by the peer
 
 
 class CrashingWorker(hosted.Worker):
-    """A backend server whose process ends a moment after it has read the body
-    CRASHING. It is back some seconds later with a new start time."""
+    """A backend server that crashes on the body CRASHING and restarts with a
+    new start time."""
 
     def __init__(self, name, service, control, port, slots=4):
         self.crashes, self.arrivals, self.lock = [], [], threading.Lock()
-        self.mended = False  # it bears the request now
-        self.ended = threading.Event()  # the process that runs now has
+        self.fixed = False  # no longer crashes
+        self.crashed = threading.Event()  # of the running process
         super().__init__(name, service, control, port, slots)
 
     def work(self, body):
-        if body != CRASHING or self.mended:
+        if body != CRASHING or self.fixed:
             return super().work(body)
-        ended = self.ended
+        crashed = self.crashed
         self.arrivals.append(time.monotonic())
-        threading.Timer(CRASH_S, self.crash, [ended]).start()
-        ended.wait()
-        raise OSError("the process has ended")
+        threading.Timer(CRASH_S, self.crash, [crashed]).start()
+        crashed.wait()
+        raise OSError("the process has crashed")
 
-    def crash(self, ended):
+    def crash(self, crashed):
         with self.lock:
-            if ended.is_set():
-                return  # another request has ended it
-            ended.set()
+            if crashed.is_set():
+                return  # already crashed
+            crashed.set()
             self.crashes.append(time.monotonic())
             self.alive = False
             self.stop_serving()
             for connection in list(self.connections):
                 reset(connection)
             self.connections.clear()
-        threading.Timer(BACK_S, self.come_back).start()
+        threading.Timer(RESTART_S, self.restart).start()
 
-    def come_back(self):
-        # Every other one comes back under the name that it had.
+    def restart(self):
+        # Every other restart keeps the name.
         if len(self.crashes) % 2:
             self.name += "+"
         self.seq, self.running = 0, 0
         self.born = int(time.time() * 1000)
-        self.ended, self.alive = threading.Event(), True
+        self.crashed, self.alive = threading.Event(), True
         self.start_serving()
 
 
 class Callers:
-    """Threads that ask any node, until they are told to stop."""
+    """Threads that send requests to random nodes until stopped."""
 
     def __init__(self, h, kind):
         self.h, self.kind = h, kind
         self.rng = random.Random(7)
         self.stopped = threading.Event()
-        self.results = []  # (when it was sent, what it was, status)
+        self.results = []  # (send time, kind of work, status)
         self.threads = []
 
     def start(self, what, count, every, body_of):
         for n in range(count):
-            t = threading.Thread(target=self.ask_forever,
+            t = threading.Thread(target=self.run_caller,
                                  args=(what, n, every, body_of), daemon=True)
             t.start()
             self.threads.append(t)
 
-    def ask_forever(self, what, n, every, body_of):
+    def run_caller(self, what, n, every, body_of):
         k = 0
         while not self.stopped.wait(every):
             k += 1
@@ -126,40 +115,40 @@
         for t in self.threads:
             t.join()
 
-    def share_served(self, what, since):
+    def success_share(self, what, since):
         got = [s for at, w, s in self.results if w == what and at >= since]
         return got.count(200) / max(1, len(got)), len(got)
 
 
-def own_body(n, k):
+def unique_body(n, k):
     return b"body %d %d" % (n, k)
 
 
-def third_crash(h, since):
+def third_crash_time(h, since):
     crashes = sorted(at for w in h.workers.values() for at in w.crashes
                      if at >= since)
     return crashes[2] if len(crashes) >= 3 else None
 
 
-def check_contained(h, kind):
+def check_containment(h, kind):
     began = time.monotonic()
     callers = Callers(h, kind)
-    callers.start("ordinary", 7, 0.05, own_body)
-    callers.start("same path", 4, 0.05, own_body)
+    callers.start("ordinary", 7, 0.05, unique_body)
+    callers.start("same path", 4, 0.05, unique_body)
     callers.start("crashing", 2, 0.15, lambda n, k: CRASHING)
-    wait_for(lambda: third_crash(h, began), 20)
-    third = third_crash(h, began)
-    expect(third is not None, kind + ": three processes end")
-    time.sleep(STABLE_S + 6)
+    wait_for(lambda: third_crash_time(h, began), 20)
+    third = third_crash_time(h, began)
+    expect(third is not None, kind + ": three processes crash")
+    time.sleep(CONTAINMENT_S + 6)
     callers.stop()
-    known = (third or began) + STABLE_S
-    late = sum(at > known for w in h.workers.values() for at in w.arrivals)
-    ended = sum(at >= began for w in h.workers.values() for at in w.crashes)
+    deadline = (third or began) + CONTAINMENT_S
+    late = sum(at > deadline for w in h.workers.values() for at in w.arrivals)
+    crashes = sum(at >= began for w in h.workers.values() for at in w.crashes)
     expect(late <= MAX_RETRIES,
-           "%s: %d arrivals of the crashing request after %d s (%d processes "
-           "ended)" % (kind, late, STABLE_S, ended))
+           "%s: %d arrivals of the crashing request after %d s (%d crashes)" %
+           (kind, late, CONTAINMENT_S, crashes))
     for what in ("ordinary", "same path"):
-        share, count = callers.share_served(what, known)
+        share, count = callers.success_share(what, deadline)
         expect(share >= 0.99, "%s: %s work is served after that: %.3f of %d" %
                (kind, what, share, count))
     wait_for(lambda: all(w.alive for w in h.workers.values()), 5)
@@ -176,12 +165,10 @@
         h.f.nodes[name].popen.wait(5)
         h.start_node(name, "billing")
     expect(wait_for(lambda: all(h.ready(n) for n in names), 20),
-           "%d nodes start anew" % len(names))
+           "%d nodes restart" % len(names))
 
 
-# A node that starts anew has forgotten what it saw, and so has a fleet whose
-# nodes are all started anew at once: each would let the request through until
-# three processes have ended again.
+# Restarted nodes, one by one or all at once, must not lose the quarantine.
 def check_restarts(h):
     for names in (["n0", "n1"], list(h.nodes)):
         before = arrivals(h)
@@ -189,18 +176,17 @@
         answers = [h.ask(n, "/read/x", "POST", CRASHING) for n in names
                    for _ in range(5)]
         expect(arrivals(h) - before <= MAX_RETRIES,
-               "%d arrivals after %d nodes started anew" %
+               "%d arrivals after %d nodes restarted" %
                (arrivals(h) - before, len(names)))
         refused = [a for a in answers if a[0] == 503]
         expect(len(refused) >= len(answers) - MAX_RETRIES and
                all(float(a[1]["Retry-After"]) > 0 for a in refused),
-               "it is refused with a time to come back")
+               "it is refused with a Retry-After")
     expect(wait_for(lambda: all(h.ask(n, "/read/x", "POST", b"other")[0] == 200
                                 for n in h.nodes)), "other work is served")
 
 
-# The service was mended, and an operator lets the request through again at one
-# node; all nodes hear of it.
+# A release by an operator at one node must reach all nodes.
 def check_release(h):
     def listed(node):
         return [r for r in h.f.ask(node, {"query": "quarantine"})["requests"]
@@ -209,7 +195,7 @@
     for node in h.nodes:
         h.f.nodes[node].wait_ready()
     for w in h.workers.values():
-        w.mended = True
+        w.fixed = True
     held = listed("n0")
     expect(len(held) == 2, "both requests are listed")
     for request in held:
@@ -218,7 +204,7 @@
     expect(wait_for(lambda: not any(listed(n) for n in h.nodes), 5),
            "a release reaches all nodes")
     expect(all(h.ask(n, "/read/x", "POST", CRASHING)[0] == 200
-               for n in h.nodes), "and the request is served")
+               for n in h.nodes), "the request is served again")
 
 
 def main():
@@ -237,7 +223,7 @@
                wait_for(lambda: all(h.ask(n, "/read/", "POST", b"")[0] == 200
                                     for n in h.nodes)), "every node serves")
         for kind in ("idempotent", "non_idempotent"):
-            check_contained(h, kind)
+            check_containment(h, kind)
         check_restarts(h)
         check_release(h)
     return hosted.summarize("crashes")
--- a/test/platform_hosted.py
+++ b/test/platform_hosted.py
@@ -1,6 +1,6 @@
-"""A hosted fleet on loopback: the stand-in store, nodes with the platform's
-adapter, and small backend servers that speak the platform's protocol. Checks
-what callers and backend servers see; exits non-zero when something is wrong.
+"""Tests a hosted fleet on loopback: the stand-in store, nodes with the platform
+adapter, and backend servers that speak the platform's protocol. Exits non-zero
+if a check fails.
 """
 
 import http.client
@@ -25,23 +25,22 @@
 IDLE_S = 5
 
 
-GIVEN = set()
+ALLOCATED_PORTS = set()
 
 
 def free_port():
-    """A port that nobody has, below those that the system gives out by itself:
-    a node that starts later would find one of these taken by a connection of
-    another test, and end with "cannot listen"."""
+    """Returns a free port below the ephemeral range, where a connection of
+    another test could occupy it before the node starts."""
     while True:
         port = random.randrange(10000, first_ephemeral_port())
-        if port in GIVEN:
+        if port in ALLOCATED_PORTS:
             continue
         with socket.socket() as s:
             try:
                 s.bind(("127.0.0.1", port))
             except OSError:
-                continue  # somebody has it
-        GIVEN.add(port)
+                continue  # in use
+        ALLOCATED_PORTS.add(port)
         return port
 
 
@@ -51,14 +50,15 @@
 
 
 class Worker:
-    """A backend server of the platform: checks in, works, drains, fails."""
+    """A backend server of the platform with injectable failures."""
 
     def __init__(self, name, service, control, port, slots=4):
         self.name, self.service, self.control = name, service, control
         self.port, self.slots = port, slots
-        self.mode, self.state, self.seq, self.acked = "well", "ready", 0, None
+        self.mode, self.state = "healthy", "ready"
+        self.seq, self.acked = 0, None
         self.seen, self.running, self.work_s = [], 0, 0.02
-        self.alive, self.quiet = True, False
+        self.alive, self.muted = True, False
         self.connections = set()
         self.born = int(time.time() * 1000)
         worker = self
@@ -77,14 +77,14 @@
                 try:
                     super().handle()
                 except OSError:
-                    pass  # the other side left, or this process has crashed
+                    pass  # closed by the peer or by a simulated crash
                 worker.connections.discard(self.request)
 
             def finish(self):
                 try:
                     super().finish()
                 except OSError:
-                    pass  # as above
+                    pass  # closed, as above
 
             def reply(self, status, headers, body=b""):
                 self.send_response_only(status)
@@ -100,8 +100,8 @@
                 load = {"X-Server-Load": "%d,0,%d" % (worker.running,
                                                       worker.slots)}
                 if self.path == "/up":
-                    well = worker.state == "ready"
-                    return self.reply(200 if well else 503, {
+                    healthy = worker.state == "ready"
+                    return self.reply(200 if healthy else 503, {
                         "X-Instance-Id": worker.name, **load})
                 wanted = self.headers.get("X-Expect-Instance")
                 if wanted != worker.name:
@@ -166,10 +166,10 @@
     def check_in_forever(self):
         while self.alive:
             try:
-                if not self.quiet:
+                if not self.muted:
                     self.check_in()
             except OSError:
-                pass  # the node is away; the next one tells
+                pass  # retried with the next check-in
             time.sleep(0.3)
 
     def drain(self):
@@ -210,7 +210,7 @@
 
 
 class Hosted:
-    """Store, nodes and workers."""
+    """A fleet with its store, nodes and backend servers."""
 
     def __init__(self, f, make_worker=Worker):
         self.f = f
@@ -319,40 +319,38 @@
     expect(status == 200 and body.startswith("r%d by " % h.requests),
            "a charge gets its own answer")
     expect(headers.get("X-Server-Seal") == "s" and "jt" not in headers,
-           "the proof passes through, the hop's field does not")
+           "the seal is forwarded, the hop header is not")
     w = h.workers[body.split()[-1]]
     _, _, seen, path, data = w.seen[-1]
     expect(seen["X-Caller-Service"] == "billing",
            "the caller's service is the VM's own")
     expect("X-Hop" not in seen and "jt" not in seen,
-           "fields of one connection stay there")
+           "hop-by-hop headers are not forwarded")
     expect(path == "/pay/x?a=1" and data == b"data",
            "path, query and body are unchanged")
     expect(0 < int(seen["X-Deadline-Ms"]) <= 3000,
-           "the backend server gets what is left")
+           "the backend server gets the remaining deadline")
     expect(h.ask("n1", "/none/")[0] == 404, "no route is 404")
     expect(h.ask("n1", "/pay", "POST", b"")[0] == 404,
            "a prefix without its slash does not match")
 
 
-# Another process has the address of the one that a request is meant for, and
-# nobody has told yet. It answers 421 on a kept connection, without an echo,
-# and does not run the request. That was read past as a stray answer: the
-# caller waited until its deadline and got "unknown". It gets "not run" at once.
+# A process that took over the address of another one responds with 421. The
+# caller must get "not run" immediately instead of "unknown" at its deadline.
 def check_other_process(h):
     w = h.workers["w2"]
     w.alive = False
-    time.sleep(0.5)  # its last check-in is on its way
-    w.name, name = "stranger", w.name
+    time.sleep(0.5)  # until its last check-in has arrived
+    w.name, name = "other", w.name
     seen = len(w.seen)
     status = h.ask("n1", "/orders/")[0]
     w.name = name
     expect(status == 503 and len(w.seen) == seen,
-           "421 is told as not run, and nothing ran")
+           "421 is reported as not run, and nothing ran")
     w.alive = True
     threading.Thread(target=w.check_in_forever, daemon=True).start()
     expect(wait_for(lambda: h.ask("n1", "/orders/")[0] == 200),
-           "and the one that was meant serves again")
+           "and the expected process serves again")
 
 
 def check_split(h):
@@ -369,7 +367,7 @@
     got = h.raw("n1", head + b"\r\nTransfer-Encoding: gzip\r\n\r\n"
                 b"GET /orders/ HTTP/1.1\r\nHost: shop.example\r\n\r\n")
     expect(got.startswith(b"HTTP/1.1 400") and got.count(b"HTTP/1.1") == 1,
-           "an unknown coding hides no second request")
+           "an unknown transfer coding cannot smuggle a request")
     got = h.raw("n1", head + b"\r\nX-Big: " + b"x" * 8000 + b"\r\n\r\n")
     expect(got.startswith(b"HTTP/1.1 431"), "a head over the limit is 431")
     began = time.monotonic()
@@ -403,27 +401,26 @@
     h.put_config(document(13, rules + [route("pay", "/pay/", "billing",
                                              "non_idempotent")]))
     expect(wait_for(lambda: h.ask("n2", "/pay/", "POST", b"")[0] == 200, 12),
-           "forgotten history is no obstacle")
+           "discarded history does not block updates")
 
 
-# A change of the configuration is late at one node: the peers that it asks for
-# the document, and the readers among them, are frozen, and it waits for each
-# in turn. It must have the change within 2 s, from the store.
+# A node whose peers are frozen must fetch a new configuration from the store
+# within 2 s instead of waiting for each peer in turn.
 def check_frozen_peers(h):
     rules = [route("orders", "/orders/", "orders"),
              route("new", "/new/", "billing"),
              route("pay", "/pay/", "billing", "non_idempotent")]
     for turn, frozen in enumerate((("n1", "n3"), ("n2", "n3"), ("n1", "n2"))):
-        awake = ({"n1", "n2", "n3"} - set(frozen)).pop()
+        running = ({"n1", "n2", "n3"} - set(frozen)).pop()
         for name in frozen:
             h.f.nodes[name].send(signal.SIGSTOP)
         prefix = "/frozen%d/" % turn
         h.put_config(document(14 + turn, rules + [
             route("frozen", prefix, "nobody-there")],
             ("billing", "orders", "nobody-there")))
-        expect(wait_for(lambda at=awake, path=prefix: h.ask(
+        expect(wait_for(lambda at=running, path=prefix: h.ask(
             at, path)[0] == 503, 2),
-            "a change reaches %s within 2 s with its peers frozen" % awake)
+            "a change reaches %s within 2 s with its peers frozen" % running)
         for name in frozen:
             h.f.nodes[name].send(signal.SIGCONT)
         time.sleep(1)
@@ -431,10 +428,9 @@
                                 for n in h.nodes)), "all serve again")
 
 
-# Versions come each 0.03 s. A node that does not read the store itself hears of
-# one, and by the time that it asks a peer for its document the peer has the
-# next: it never gets any, and goes on with the routes of before the storm.
-def check_storm(h):
+# Frequent versions must not starve nodes that fetch documents from peers: these
+# may already hold the next version when asked for the announced one.
+def check_frequent_versions(h):
     rules = [route("orders", "/orders/", "orders"),
              route("new", "/new/", "billing"),
              route("pay", "/pay/", "billing", "non_idempotent")]
@@ -452,20 +448,21 @@
            "versions in quick succession are in force within 2 s: %s" % late)
 
 
-def check_sick(h):
-    sick = h.workers["w1"]
-    sick.mode = "fail"
+def check_unhealthy(h):
+    unhealthy = h.workers["w1"]
+    unhealthy.mode = "fail"
     for _ in range(6):
         h.ask("n1", "/pay/", "POST", b"")
     failed = [h.ask("n1", "/pay/", "POST", b"")[0] for _ in range(20)]
     expect(failed.count(200) >= 18,
-           "charges leave a failing backend server: %s" % failed)
-    sick.mode = "unsealed"
+           "charges avoid a failing backend server: %s" % failed)
+    unhealthy.mode = "unsealed"
     time.sleep(0.6)
     got = [h.ask("n1", "/new/")[0] for _ in range(12)]
-    expect(got.count(200) >= 10, "an unproven success reaches nobody: %s" % got)
-    sick.mode = "well"
-    sick.seen.clear()
+    expect(got.count(200) >= 10,
+           "a success without a seal is not forwarded: %s" % got)
+    unhealthy.mode = "healthy"
+    unhealthy.seen.clear()
     h.workers["w3"].work_s = 0.2
     threads = [threading.Thread(target=lambda: [
         h.ask("n2", "/new/") for _ in range(30)]) for _ in range(8)]
@@ -474,8 +471,8 @@
     for t in threads:
         t.join()
     h.workers["w3"].work_s = 0.02
-    expect(len(sick.seen) > 40, "it takes its share again when it is well: "
-           "%d of 240" % len(sick.seen))
+    expect(len(unhealthy.seen) > 40, "it gets its share again once healthy: "
+           "%d of 240" % len(unhealthy.seen))
 
 
 def check_drain(h):
@@ -503,44 +500,42 @@
     before = len(w.seen)
     for _ in range(10):
         h.ask("n2", "/pay/", "POST", b"")
-    expect(len(w.seen) == before, "an id that has drained never returns")
+    expect(len(w.seen) == before, "a drained id is not used again")
     w.stop()
     h.start_worker("w1b", "n1")
     expect(wait_for(lambda: any(h.ask("n2", "/new/")[2].endswith("w1b")
                                 for _ in range(4))),
-           "its successor at the same address is used")
+           "a new process at the same address is used")
 
 
-# A release starts backend servers again under the names that they had. Their
-# counts begin anew, and the former process had said that it drains: taken for
-# the same process they would stay unused for good, and the service would lose
-# one backend server after the other. A late word of the former changes nothing.
+# A process that restarts under the same name must not inherit the sequence
+# number and drain of its previous incarnation, whose late reports are ignored.
 def check_same_name(h):
-    former = h.workers["w1b"]
-    former.drain()
-    former.stop()
+    previous = h.workers["w1b"]
+    previous.drain()
+    previous.stop()
     time.sleep(0.05)
-    again = h.start_worker("w1b", "n1")
+    current = h.start_worker("w1b", "n1")
     began = time.monotonic()
     expect(wait_for(lambda: any(h.ask("n2", "/new/")[2].endswith("w1b")
                                 for _ in range(4)), 2) and
            time.monotonic() - began < 2,
            "one that starts again under its name is used within 2 s")
-    former.check_in("ready")
-    former.check_in("draining")
-    former.call("DELETE", {"born": former.born})
-    bad = {"born": "soon", "Address": "127.0.0.1:%d" % again.port}
+    previous.check_in("ready")
+    previous.check_in("draining")
+    previous.call("DELETE", {"born": previous.born})
+    bad = {"born": "soon", "Address": "127.0.0.1:%d" % current.port}
     try:
-        again.call("PUT", bad)
+        current.call("PUT", bad)
         refused = False
     except urllib.error.HTTPError as e:
         refused = e.code == 400
-    expect(refused, "a check-in that cannot be read is refused")
-    before = len(again.seen)
+    expect(refused, "a malformed check-in is refused")
+    before = len(current.seen)
     for _ in range(20):
         h.ask("n2", "/new/")
-    expect(len(again.seen) > before,
-           "late words of the former and unreadable ones change nothing")
+    expect(len(current.seen) > before,
+           "late and malformed check-ins change nothing")
 
 
 def check_restart(h):
@@ -548,7 +543,7 @@
     node.send(signal.SIGHUP)
     time.sleep(0.3)
     expect(node.popen.poll() is None and h.ready("n2"),
-           "SIGHUP reloads and ends nothing")
+           "SIGHUP reloads without a restart")
     results = []
 
     def caller():
@@ -567,30 +562,30 @@
     expect(not h.ready("n2"), "SIGTERM ends readiness at once")
     t.join()
     refused = [r for r in results if r not in (200, 503)]
-    expect(node.popen.wait(5) == 0, "it ends by itself")
+    expect(node.popen.wait(5) == 0, "it exits by itself")
     expect(all(r == "closed" for r in refused),
            "no answer but 200 and 503 while it stops")
     fleet.post(h.f.platform.address(), "/fault", {"mode": "down"})
     h.start_node("n2", h.nodes["n2"]["service"])
     expect(wait_for(lambda: h.ready("n2"), 20),
-           "a node that starts while the store is out is found by its peers")
+           "a node that starts without the store is found by its peers")
     expect(h.ask("n2", "/orders/")[0] == 200, "and serves")
     fleet.post(h.f.platform.address(), "/fault", {"mode": "none"})
 
 
-def check_found_by_answer(h):
-    # A charge runs on a backend server whose node started beside it and knows
-    # it by its health answer alone. Its next announcement names its start; the
-    # charge was ended as unknown, as if the backend server had restarted.
+def check_discovery_by_health(h):
+    # A node that restarts discovers its backend server by a health check. The
+    # first check-in with a start time must not count as a restart, which would
+    # end running requests as unknown.
     worker = h.workers["w1b"]
-    worker.quiet = True
+    worker.muted = True
     node = h.f.nodes["n1"]
     node.send(signal.SIGKILL)
     node.popen.wait(5)
     h.start_node("n1", "billing", worker.port)
-    expect(wait_for(lambda: h.ready("n1"), 20), "a node starts anew")
+    expect(wait_for(lambda: h.ready("n1"), 20), "a node restarts")
     expect(wait_for(lambda: h.ask("n1", "/pay/", "POST", b"c")[0] == 200),
-           "it finds its backend server by the health answer")
+           "it discovers its backend server by a health check")
     before, results = len(worker.seen), []
     other = h.workers["w3"]
     other.mode, worker.work_s = "shed", 1.5
@@ -600,26 +595,25 @@
         t.start()
     expect(wait_for(lambda: worker.running > 0, 1) and
            len(worker.seen) > before, "charges run there")
-    worker.quiet = False
+    worker.muted = False
     for t in threads:
         t.join()
-    other.mode, worker.work_s = "well", 0.02
+    other.mode, worker.work_s = "healthy", 0.02
     expect(200 in results and set(results) <= {200, 503},
-           "its first announcement ends no charge: %s" % results)
+           "the first check-in ends no charge: %s" % results)
 
 
-# A read waits at the gates of other nodes when its own node is told to stop. The
-# gates did not hear of it: the caller got 504 at the end of the grace, as if the
-# read might have run, or it was begun late and cut. It never ran; its caller is
-# told so while there is still time for another node.
-def check_stop_tells_gates(h):
+# Requests that wait at gates when their entry node stops must be reported as
+# not run, early enough for a retry at another node.
+def check_stop_cancels_queued(h):
     workers = [h.workers["w1b"], h.workers["w3"]]
     slow = route("slow", "/slow/", "billing", timeout=8)
-    slow["TargetLatencyS"] = 6  # it waits for longer than the grace is
+    slow["TargetLatencyS"] = 6  # longer than the grace period
     h.put_config(document(9000, [slow, route("pay", "/pay/", "billing",
                                              "non_idempotent")]))
     expect(wait_for(lambda: all(h.ask(n, "/slow/")[0] == 200
-                                for n in h.nodes)), "a patient route serves")
+                                for n in h.nodes)),
+           "a route with a long target latency serves")
 
     def fill_slots(work_s):
         for w in workers:
@@ -630,8 +624,7 @@
             t.start()
         return threads
 
-    # Work that suddenly lasts for a hundred times as long would be taken for a
-    # backend server that hangs; it grows step by step.
+    # A sudden increase of durations would count as a hanging backend server.
     for work_s in (0.05, 0.1, 0.2, 0.4, 0.4, 0.8, 0.8, 0.8, 1.4, 1.4):
         for t in fill_slots(work_s):
             t.join()
@@ -651,7 +644,7 @@
         t.join()
     expect(results == [503, 503] and
            sum(len(w.seen) for w in workers) == seen,
-           "what only waits when its node stops is told as not run: %s" %
+           "queued requests of a stopping node are reported as not run: %s" %
            results)
     for w in workers:
         w.work_s = 0.02
@@ -659,13 +652,11 @@
         t.join()
     node.popen.wait(5)
     h.start_node("n2", "orders")
-    expect(wait_for(lambda: h.ready("n2"), 20), "the node starts anew")
+    expect(wait_for(lambda: h.ready("n2"), 20), "the node restarts")
 
 
-# Reads run on a slow backend server when their node is told to stop, and the
-# node's part of the retry allowance is spent. Each was given up at the end of
-# the stop as unknown (1016 reason=deadline, no 1002), though other nodes had
-# retries left and another backend server was free.
+# A stopping node without retry budget must borrow retries from other nodes for
+# requests on a slow backend server instead of ending them as unknown.
 def check_stop_borrows_retries(h):
     slow = h.workers["w1b"]
     h.put_config(document(9050, [route("quick", "/quick/", "billing",
@@ -678,7 +669,7 @@
     h.start_node("n2", "orders", extra=["hosted.retry_slack=0",
                                           "hosted.retry_ratio=0"])
     expect(wait_for(lambda: h.ready("n2"), 20), "a node with no retries left")
-    # With none it sends nothing to a suspect; the others' work clears it.
+    # Without retries it avoids suspects until other nodes have cleared them.
     expect(wait_for(lambda: [h.ask(n, "/quick/")[0] for n in ("n1", "n3")] and
                     h.ask("n2", "/quick/")[2].endswith("by " + slow.name)),
            "it uses both backend servers")
@@ -701,11 +692,10 @@
     slow.work_s = 0.02
     node.popen.wait(5)
     h.start_node("n2", "orders")
-    expect(wait_for(lambda: h.ready("n2"), 20), "the node starts anew")
+    expect(wait_for(lambda: h.ready("n2"), 20), "the node restarts")
 
 
 def team_document(version, keys, rate=0):
-    # One team, one route that needs its key and one that is open.
     open_route = route("orders", "/orders/", "orders")
     open_route["NoAuth"] = True
     d = json.loads(document(version, [
@@ -738,24 +728,24 @@
            "the team is the key's, whatever the caller says")
     h.put_config(team_document(9061, ["k1"]))
     expect(wait_for(lambda: pay("k2")[0] == 401, 3),
-           "a key that was taken away is refused")
-    expect(pay("k1")[0] == 200, "the other one goes on")
+           "a revoked key is refused")
+    expect(pay("k1")[0] == 200, "the other one remains valid")
     h.put_config(team_document(9062, ["k1"], rate=1))
     expect(wait_for(lambda: pay("k1")[0] == 429, 3), "over its rate: 429")
     refused = next(a for a in (pay("k1") for _ in range(20)) if a[0] == 429)
     expect(float(refused[1].get("Retry-After", 0)) > 0,
-           "with the time of its turn")
+           "with a Retry-After")
     h.put_config(team_document(9063, ["k1"]))
     expect(wait_for(lambda: [pay("k1")[0] for _ in range(5)] == [200] * 5, 3),
            "a higher limit is used at once")
-    # The store is out: nobody can prove that the key still works, and the
-    # promise about keys goes before service. Open routes go on.
+    # Without the store, the validity of a key cannot be proven.
     fleet.post(h.f.platform.address(), "/fault", {"mode": "down"})
     expect(wait_for(lambda: pay("k1")[0] == 503, 8),
-           "without proof keyed requests are refused")
-    expect(h.ask("n3", "/orders/")[0] == 200, "open routes go on")
+           "without the store keyed requests are refused")
+    expect(h.ask("n3", "/orders/")[0] == 200, "open routes remain available")
     fleet.post(h.f.platform.address(), "/fault", {"mode": "none"})
-    expect(wait_for(lambda: pay("k1")[0] == 200, 8), "and come back with it")
+    expect(wait_for(lambda: pay("k1")[0] == 200, 8),
+           "keyed requests resume with the store")
 
 
 def main():
@@ -779,10 +769,10 @@
             for p in ("/orders/", "/both/"))), "every node serves")
         for check in (check_serving, check_other_process, check_split,
                       check_raw, check_config, check_frozen_peers,
-                      check_storm, check_sick, check_drain, check_same_name,
-                      check_restart, check_found_by_answer,
-                      check_stop_tells_gates, check_stop_borrows_retries,
-                      check_teams):
+                      check_frequent_versions, check_unhealthy, check_drain,
+                      check_same_name, check_restart,
+                      check_discovery_by_health, check_stop_cancels_queued,
+                      check_stop_borrows_retries, check_teams):
             check(h)
     return summarize("hosted")
 
--- a/test/test_platform_check_in.cpp
+++ b/test/test_platform_check_in.cpp
@@ -1,4 +1,4 @@
-// Check-ins of backend servers into announcements, and those that name nobody.
+// Tests the parsing and rejection of check-ins.
 #include "platform/check_in_parse.hpp"
 
 #include <gtest/gtest.h>
@@ -7,8 +7,8 @@
 namespace jasminetray {
 namespace {
 
-constexpr std::uint64_t wall = 1700000000000;
-constexpr std::uint64_t first_start = wall - 60000;
+constexpr std::uint64_t wall_ms = 1700000000000;
+constexpr std::uint64_t start_ms = wall_ms - 60000;
 
 std::string check_in(const std::string& extra)
 {
@@ -17,34 +17,34 @@
            R"("Status":{"State":"ready","Seq":4,"ColdLeftS":0}})";
 }
 
-TEST(check_in, tells_when_the_process_started)
+TEST(check_in, start_time_is_parsed)
 {
-    std::string why;
+    std::string error;
     const auto a = parse_check_in(
-        "w", check_in(R"("born":)" + std::to_string(first_start) + ","), wall,
-        why);
-    ASSERT_TRUE(a) << why;
-    EXPECT_EQ(a->boot, first_start);
+        "w", check_in(R"("born":)" + std::to_string(start_ms) + ","), wall_ms,
+        error);
+    ASSERT_TRUE(a) << error;
+    EXPECT_EQ(a->boot, start_ms);
     EXPECT_EQ(a->sequence, 4U);
-    const auto untold = parse_check_in("w", check_in(""), wall, why);
-    ASSERT_TRUE(untold) << why;
-    EXPECT_EQ(untold->boot, 0U);
+    const auto without_start =
+        parse_check_in("w", check_in(""), wall_ms, error);
+    ASSERT_TRUE(without_start) << error;
+    EXPECT_EQ(without_start->boot, 0U);
 }
 
-TEST(check_in, a_start_that_is_none_names_no_process)
+TEST(check_in, invalid_start_time_is_rejected)
 {
     for (const auto* born :
          {"-5", "0", "1.5", "\"7\"", "null", "true", "[1]", "{}", "1e3",
           "99999999999999", "18446744073709551616"}) {
-        std::string why;
+        std::string error;
         const auto text = check_in(std::string(R"("born":)") + born + ",");
-        EXPECT_FALSE(parse_check_in("w", text, wall, why)) << born;
-        EXPECT_FALSE(why.empty()) << born;
+        EXPECT_FALSE(parse_check_in("w", text, wall_ms, error)) << born;
+        EXPECT_FALSE(error.empty()) << born;
     }
 }
 
-// Whatever another program writes, the node goes on and names nobody by it.
-TEST(check_in, what_cannot_be_read_names_nobody)
+TEST(check_in, malformed_documents_are_rejected)
 {
     std::string deep(100000, '[');
     for (const auto& text :
@@ -57,14 +57,14 @@
                       R"("Slots":1},"Status":{"State":"lost","Seq":1}})"),
           std::string(R"({"Address":"10.0.0.9:80","Info":{"Service":"b",)"
                       R"("Slots":-1},"Status":{"State":"ready","Seq":1}})")}) {
-        std::string why;
-        EXPECT_FALSE(parse_check_in("w", text, wall, why))
+        std::string error;
+        EXPECT_FALSE(parse_check_in("w", text, wall_ms, error))
             << text.substr(0, 80);
-        EXPECT_FALSE(why.empty());
+        EXPECT_FALSE(error.empty());
     }
 }
 
-TEST(check_in, any_change_of_its_bytes_is_read_or_refused)
+TEST(check_in, corrupted_bytes_are_parsed_or_rejected)
 {
     rc::check("no byte does harm", [] {
         auto text = check_in(R"("born":5,)");
@@ -73,22 +73,22 @@
             const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
             text[at] = static_cast<char>(*rc::gen::inRange(0, 256));
         }
-        std::string why;
-        const auto a = parse_check_in("w", text, wall, why);
-        RC_ASSERT(a.has_value() == why.empty());
+        std::string error;
+        const auto a = parse_check_in("w", text, wall_ms, error);
+        RC_ASSERT(a.has_value() == error.empty());
         if (a)
             RC_ASSERT(a->slots >= 1 && !a->service.empty());
     });
 }
 
-TEST(check_in, a_farewell_may_tell_its_start)
+TEST(check_in, deregistration_has_optional_start_time)
 {
-    std::string why;
-    EXPECT_EQ(parse_leave_start("", wall, why), 0U);
-    EXPECT_TRUE(why.empty());
-    EXPECT_EQ(parse_leave_start(R"({"born":7})", wall, why), 7U);
-    EXPECT_EQ(parse_leave_start("{", wall, why), 0U);
-    EXPECT_FALSE(why.empty());
+    std::string error;
+    EXPECT_EQ(parse_deregistration("", wall_ms, error), 0U);
+    EXPECT_TRUE(error.empty());
+    EXPECT_EQ(parse_deregistration(R"({"born":7})", wall_ms, error), 7U);
+    EXPECT_EQ(parse_deregistration("{", wall_ms, error), 0U);
+    EXPECT_FALSE(error.empty());
 }
 
 } // namespace
--- a/test/test_platform_config.cpp
+++ b/test/test_platform_config.cpp
@@ -1,5 +1,4 @@
-// The operator's document into the product's configuration: whole or not at
-// all, with a reason that names the part.
+// Tests the parsing of the operator's configuration document.
 #include "config/config_query.hpp"
 #include "platform/operator_config.hpp"
 
@@ -9,7 +8,7 @@
 namespace jasminetray {
 namespace {
 
-constexpr char good[] = R"({"Version":7,
+constexpr char valid_document[] = R"({"Version":7,
  "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":1048576,
            "HeaderTimeoutS":3,"IdleTimeoutS":15.5},
  "BaseVersion":5,
@@ -32,26 +31,26 @@
 
 constexpr double floor_share = 0.7;
 
-std::string error_of(const std::string& text)
+std::string parse_failure(const std::string& text)
 {
-    std::string why;
-    return parse_operator_config(text, floor_share, why) ? "" : why;
+    std::string error;
+    return parse_operator_config(text, floor_share, error) ? "" : error;
 }
 
-/// The good document with one text replaced by another.
-std::string with(const std::string& from, const std::string& to)
+/// Returns the valid document with one text replaced.
+std::string replaced(const std::string& from, const std::string& to)
 {
-    std::string text = good;
+    std::string text = valid_document;
     const auto at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
     return text.replace(at, from.size(), to);
 }
 
-TEST(operator_config, becomes_the_products_own)
+TEST(operator_config, valid_document_is_converted)
 {
-    std::string why;
-    const auto c = parse_operator_config(good, floor_share, why);
-    ASSERT_TRUE(c) << why;
+    std::string error;
+    const auto c = parse_operator_config(valid_document, floor_share, error);
+    ASSERT_TRUE(c) << error;
     EXPECT_EQ(c->version, 7U);
     EXPECT_EQ(c->limits.idle_us, 15500 * us_per_ms);
     EXPECT_EQ(c->limits.header_bytes, 16384);
@@ -78,79 +77,74 @@
 
 TEST(operator_config, unknown_fields_are_ignored)
 {
-    EXPECT_EQ(error_of(with("\"BaseVersion\":5", "\"New\":{\"a\":[1]}")), "");
+    EXPECT_EQ(
+        parse_failure(replaced("\"BaseVersion\":5", "\"New\":{\"a\":[1]}")),
+        "");
 }
 
-// The operator sees its version refused in the log and the former one stays:
-// a document that is half written, contradicts itself or does not say which
-// requests it is about must not half apply.
-TEST(operator_config, what_is_wrong_refuses_all)
+// A truncated or inconsistent document must not replace the current one.
+TEST(operator_config, invalid_document_is_rejected)
 {
-    EXPECT_EQ(error_of(std::string(good).substr(0, 400)),
+    EXPECT_EQ(parse_failure(std::string(valid_document).substr(0, 400)),
               "not a whole JSON object");
-    EXPECT_EQ(error_of(with("\"Service\":\"billing\",\"TimeoutS\"",
-                            "\"Service\":\"nobody\",\"TimeoutS\"")),
+    EXPECT_EQ(parse_failure(replaced("\"Service\":\"billing\",\"TimeoutS\"",
+                                     "\"Service\":\"nobody\",\"TimeoutS\"")),
               "route charge names service 'nobody', which no [service] "
               "section defines");
-    EXPECT_EQ(error_of(with("\"/x/y/\"", "\"/x/y\"")),
+    EXPECT_EQ(parse_failure(replaced("\"/x/y/\"", "\"/x/y\"")),
               "route deep: Prefix must be a path that begins and ends with a "
               "slash");
-    EXPECT_EQ(error_of(with("\"/x/y/\"", "\"/x/\"")),
+    EXPECT_EQ(parse_failure(replaced("\"/x/y/\"", "\"/x/\"")),
               "route deep has the host and path of another route");
-    EXPECT_EQ(error_of(with("\"Version\":7", "\"Version\":\"7\"")),
+    EXPECT_EQ(parse_failure(replaced("\"Version\":7", "\"Version\":\"7\"")),
               "document: Version must be a whole number above 0");
 }
 
-/// Reads a document that must be accepted.
-fleet_config accepted(const std::string& text)
+fleet_config parse_accepted(const std::string& text)
 {
-    std::string why;
-    auto c = parse_operator_config(text, floor_share, why);
-    EXPECT_TRUE(c) << why;
+    std::string error;
+    auto c = parse_operator_config(text, floor_share, error);
+    EXPECT_TRUE(c) << error;
     return c.value_or(fleet_config{});
 }
 
-/// The document is accepted with one note, and of its routes only `name` is
-/// refused, for the same reason.
+/// Expects a single note and that only route `name` is disabled, both with the
+/// same reason.
 void expect_unclear(const std::string& text, const std::string& name,
                     const std::string& reason)
 {
-    const auto c = accepted(text);
+    const auto c = parse_accepted(text);
     EXPECT_EQ(c.notes, std::vector<std::string>{reason});
     for (const auto& r : c.routes)
         EXPECT_EQ(r.unclear, r.name == name ? reason : "") << r.name;
 }
 
-// A newer platform sends one route in a way that this version does not
-// understand. Callers of that route get "not run"; all others are served by
-// the new document. Refusing it whole would keep every change of the operator
-// from the fleet, and leave a node that starts without any configuration.
-TEST(operator_config, an_unclear_route_alone_is_refused)
+// A route with an unsupported action must not disable the rest of the document.
+TEST(operator_config, unclear_route_is_disabled_alone)
 {
-    expect_unclear(with("\"TimeoutS\":8,", ""), "charge",
+    expect_unclear(replaced("\"TimeoutS\":8,", ""), "charge",
                    "route charge: TimeoutS must be a time in seconds");
-    expect_unclear(with(",\"Weight\":90", ""), "deep",
+    expect_unclear(replaced(",\"Weight\":90", ""), "deep",
                    "route deep: Weight must be a number that is not negative");
-    expect_unclear(with("\"Service\":\"orders\",\"TimeoutS\":1",
-                        "\"Redirect\":\"/y/\",\"TimeoutS\":1"),
+    expect_unclear(replaced("\"Service\":\"orders\",\"TimeoutS\":1",
+                            "\"Redirect\":\"/y/\",\"TimeoutS\":1"),
                    "other", "route other: Service must be a text");
 }
 
 TEST(operator_config, uploads_are_not_idempotent)
 {
-    const auto c = accepted(with("\"non_idempotent\"", "\"upload\""));
+    const auto c = parse_accepted(replaced("\"non_idempotent\"", "\"upload\""));
     EXPECT_TRUE(c.notes.empty());
     EXPECT_FALSE(is_idempotent(c.routes[0], "GET"));
     EXPECT_FALSE(is_idempotent(c.routes[0], "PUT"));
     EXPECT_EQ(c.routes[0].attempts, 2);
 }
 
-// A kind that this version does not know appears on one route. Its callers
-// are served; what might run twice by mistake is sent to one backend server
-// only, since nothing says that it may be repeated.
-TEST(operator_config, an_unknown_kind_runs_once_on_one_backend_server)
+// Requests of an unknown kind might not be idempotent, so they must not be
+// repeated.
+TEST(operator_config, unknown_kind_gets_a_single_attempt)
 {
-    const auto c = accepted(with("\"non_idempotent\"", "\"maybe\""));
+    const auto c = parse_accepted(replaced("\"non_idempotent\"", "\"maybe\""));
     EXPECT_EQ(c.notes,
               std::vector<std::string>{
                   "route charge: Kind 'maybe' is not known and taken for work "
@@ -161,31 +155,35 @@
     EXPECT_EQ(c.routes[1].attempts, 3);
 }
 
-TEST(operator_config, an_optional_value_not_understood_counts_as_left_out)
+TEST(operator_config, invalid_optional_value_counts_as_absent)
 {
-    auto c = accepted(with("\"Priority\":1", "\"Priority\":\"high\""));
+    auto c =
+        parse_accepted(replaced("\"Priority\":1", "\"Priority\":\"high\""));
     EXPECT_EQ(c.notes, std::vector<std::string>{
                            "route charge: Priority must be a whole number "
                            "within its bounds"});
     EXPECT_EQ(c.routes[0].priority, route_config{}.priority);
-    c = accepted(with("\"TargetLatencyS\":2", "\"TargetLatencyS\":-2"));
+    c = parse_accepted(
+        replaced("\"TargetLatencyS\":2", "\"TargetLatencyS\":-2"));
     EXPECT_EQ(c.notes.size(), 1U);
     EXPECT_EQ(c.routes[0].target_us, 8 * us_per_s);
-    c = accepted(with("\"MaxBodyBytes\":1048576", "\"MaxBodyBytes\":{}"));
+    c = parse_accepted(
+        replaced("\"MaxBodyBytes\":1048576", "\"MaxBodyBytes\":{}"));
     EXPECT_EQ(c.notes.size(), 1U);
     EXPECT_EQ(c.limits.body_bytes, caller_limits{}.body_bytes);
     EXPECT_EQ(c.limits.header_bytes, 16384);
-    c = accepted(with("\"MaxConnections\":360", "\"MaxConnections\":0"));
+    c = parse_accepted(
+        replaced("\"MaxConnections\":360", "\"MaxConnections\":0"));
     EXPECT_EQ(c.notes.size(), 1U);
     EXPECT_EQ(c.services[0].max_connections, service_config{}.max_connections);
 }
 
-TEST(operator_config, no_cut_passes_for_a_whole_one)
+TEST(operator_config, truncated_document_is_rejected)
 {
-    const std::string text = good;
+    const std::string text = valid_document;
     rc::check("a prefix is refused", [&] {
         const auto n = *rc::gen::inRange<std::size_t>(0, text.size() - 1);
-        RC_ASSERT(!error_of(text.substr(0, n)).empty());
+        RC_ASSERT(!parse_failure(text.substr(0, n)).empty());
     });
 }
 
--- a/test/test_platform_store.cpp
+++ b/test/test_platform_store.cpp
@@ -1,6 +1,4 @@
-// The store's client against the stand-in, over real sockets: each answer of
-// the store, and each way in which one stays away, is a result or a typed
-// error.
+// Tests the store client against the stand-in store over loopback sockets.
 #include "platform/store_client.hpp"
 #include "stand_in/store_state.hpp"
 
@@ -11,9 +9,9 @@
 namespace {
 
 constexpr char table[] = "t";
-constexpr span_us bound = us_per_s / 2;
+constexpr span_us call_timeout = us_per_s / 2;
 
-/// A stand-in store on a thread of its own.
+/// Runs a stand-in store on a thread of its own.
 struct running_store
 {
     asio::io_context ctx{1};
@@ -42,10 +40,10 @@
 
     store_api client() const
     {
-        return make_store_client({"127.0.0.1", port}, bound);
+        return make_store_client({"127.0.0.1", port}, call_timeout);
     }
 
-    /// Runs a change on the store's own thread.
+    /// Runs a change on the store's thread and waits for it.
     template <typename Change>
     void change(Change c)
     {
@@ -59,8 +57,8 @@
     }
 };
 
-row_write write_of(const std::string& key, const std::string& value,
-                   std::optional<std::uint64_t> expected = std::nullopt)
+row_write make_write(const std::string& key, const std::string& value,
+                     std::optional<std::uint64_t> expected = std::nullopt)
 {
     return {{table, key}, expected, value, false};
 }
@@ -69,73 +67,73 @@
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
+    store_error error{};
     const std::string bytes("\0\xff any bytes\n", 13);
-    EXPECT_TRUE(c.write_rows({write_of("a", bytes, 0)}, last));
-    const auto row = c.read_row({table, "a"}, last);
+    EXPECT_TRUE(c.write_rows({make_write("a", bytes, 0)}, error));
+    const auto row = c.read_row({table, "a"}, error);
     ASSERT_TRUE(row);
     EXPECT_EQ(row->value, bytes);
-    EXPECT_FALSE(c.read_row({table, "b"}, last));
-    EXPECT_EQ(last, store_error::missing);
-    EXPECT_TRUE(c.write_rows({{{table, "a"}, row->version, "", true}}, last));
-    EXPECT_FALSE(c.read_row({table, "a"}, last));
-    EXPECT_EQ(last, store_error::missing);
+    EXPECT_FALSE(c.read_row({table, "b"}, error));
+    EXPECT_EQ(error, store_error::missing);
+    EXPECT_TRUE(c.write_rows({{{table, "a"}, row->version, "", true}}, error));
+    EXPECT_FALSE(c.read_row({table, "a"}, error));
+    EXPECT_EQ(error, store_error::missing);
 }
 
-TEST(platform_store, a_transaction_takes_effect_whole_or_not_at_all)
+TEST(platform_store, transactions_are_atomic)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    ASSERT_TRUE(c.write_rows({write_of("a", "1")}, last));
+    store_error error{};
+    ASSERT_TRUE(c.write_rows({make_write("a", "1")}, error));
     EXPECT_FALSE(
-        c.write_rows({write_of("b", "2"), write_of("a", "3", 77)}, last));
-    EXPECT_EQ(last, store_error::conflict);
-    EXPECT_FALSE(c.read_row({table, "b"}, last));
-    EXPECT_FALSE(c.write_rows({write_of("new", "1", 5)}, last));
-    EXPECT_EQ(last, store_error::conflict);
-    EXPECT_FALSE(c.write_rows({{{"op", "config"}, {}, "x", false}}, last));
-    EXPECT_EQ(last, store_error::forbidden);
+        c.write_rows({make_write("b", "2"), make_write("a", "3", 77)}, error));
+    EXPECT_EQ(error, store_error::conflict);
+    EXPECT_FALSE(c.read_row({table, "b"}, error));
+    EXPECT_FALSE(c.write_rows({make_write("new", "1", 5)}, error));
+    EXPECT_EQ(error, store_error::conflict);
+    EXPECT_FALSE(c.write_rows({{{"op", "config"}, {}, "x", false}}, error));
+    EXPECT_EQ(error, store_error::forbidden);
 }
 
-TEST(platform_store, lists_continue_over_pages)
+TEST(platform_store, lists_span_pages)
 {
     running_store s;
-    s.change([](store_state& x) { x.page = 2; });
+    s.change([](store_state& x) { x.max_page_rows = 2; });
     const auto c = s.client();
-    store_error last{};
+    store_error error{};
     for (const char* key : {"a", "b", "c", "d", "e/ &=%"})
-        ASSERT_TRUE(c.write_rows({write_of(key, key)}, last));
-    const auto list = c.list_rows(table, last);
+        ASSERT_TRUE(c.write_rows({make_write(key, key)}, error));
+    const auto list = c.list_rows(table, error);
     ASSERT_TRUE(list);
     ASSERT_EQ(list->rows.size(), 5U);
     EXPECT_EQ(list->rows[4].key, "e/ &=%");
     EXPECT_EQ(list->rows[4].row.value, "e/ &=%");
-    const auto odd = c.read_row({table, "e/ &=%"}, last);
+    const auto odd = c.read_row({table, "e/ &=%"}, error);
     ASSERT_TRUE(odd);
     EXPECT_EQ(odd->value, "e/ &=%");
 }
 
-TEST(platform_store, the_feed_gives_changes_in_order_and_waits_for_them)
+TEST(platform_store, feed_waits_for_changes_in_order)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    ASSERT_TRUE(c.write_rows({write_of("a", "1")}, last));
-    const auto start = c.list_rows(table, last);
+    store_error error{};
+    ASSERT_TRUE(c.write_rows({make_write("a", "1")}, error));
+    const auto start = c.list_rows(table, error);
     ASSERT_TRUE(start);
-    const auto none = c.watch_rows(table, start->version, us_per_ms, last);
+    const auto none = c.watch_rows(table, start->version, us_per_ms, error);
     ASSERT_TRUE(none);
     EXPECT_TRUE(none->rows.empty());
     std::thread writer([&] {
         store_error e{};
-        c.write_rows({write_of("b", "2")}, e);
+        c.write_rows({make_write("b", "2")}, e);
         c.write_rows({{{table, "a"}, {}, "", true}}, e);
     });
     auto after = start->version;
     std::vector<keyed_row> seen;
     while (seen.size() < 2) {
-        const auto more = c.watch_rows(table, after, 5 * us_per_s, last);
+        const auto more = c.watch_rows(table, after, 5 * us_per_s, error);
         ASSERT_TRUE(more);
         after = more->version;
         seen.insert(seen.end(), more->rows.begin(), more->rows.end());
@@ -147,70 +145,70 @@
     EXPECT_TRUE(seen[1].removed);
 }
 
-// The reader sees `too_old` and reads the whole table again: the store drops
-// history that nobody has read yet, at any time and without notice.
-TEST(platform_store, forgotten_history_is_told_from_silence)
+// The store may discard unread history at any time. The reader must then list
+// the whole table again instead of waiting for changes.
+TEST(platform_store, discarded_history_is_reported)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    ASSERT_TRUE(c.write_rows({write_of("a", "1")}, last));
-    ASSERT_TRUE(c.write_rows({write_of("a", "2")}, last));
-    s.change([](store_state& x) { forget_history(x); });
-    EXPECT_FALSE(c.watch_rows(table, 1, us_per_ms, last));
-    EXPECT_EQ(last, store_error::too_old);
+    store_error error{};
+    ASSERT_TRUE(c.write_rows({make_write("a", "1")}, error));
+    ASSERT_TRUE(c.write_rows({make_write("a", "2")}, error));
+    s.change([](store_state& x) { discard_history(x); });
+    EXPECT_FALSE(c.watch_rows(table, 1, us_per_ms, error));
+    EXPECT_EQ(error, store_error::too_old);
 }
 
-// The writer hears nothing, and the write is there all the same. Told as
-// "refused" it would be repeated, or as "done" it might be missing.
-TEST(platform_store, a_lost_answer_leaves_the_write_unclear)
+// A write without a response may have taken effect, so it must count neither as
+// refused nor as done.
+TEST(platform_store, lost_response_leaves_the_write_unclear)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    s.change([](store_state& x) { x.fault.lose_answer = true; });
-    EXPECT_FALSE(c.write_rows({write_of("a", "1")}, last));
-    EXPECT_EQ(last, store_error::unclear);
+    store_error error{};
+    s.change([](store_state& x) { x.fault.drop_write_response = true; });
+    EXPECT_FALSE(c.write_rows({make_write("a", "1")}, error));
+    EXPECT_EQ(error, store_error::unclear);
     s.change([](store_state& x) { x.fault = {}; });
-    EXPECT_TRUE(c.read_row({table, "a"}, last));
+    EXPECT_TRUE(c.read_row({table, "a"}, error));
 }
 
-TEST(platform_store, refusals_and_silence_have_errors_of_their_own)
+TEST(platform_store, refusals_and_timeouts_have_distinct_errors)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    s.change([](store_state& x) { x.fault.busy = true; });
-    EXPECT_FALSE(c.write_rows({write_of("a", "1")}, last));
-    EXPECT_EQ(last, store_error::refused);
+    store_error error{};
+    s.change([](store_state& x) { x.fault.unavailable = true; });
+    EXPECT_FALSE(c.write_rows({make_write("a", "1")}, error));
+    EXPECT_EQ(error, store_error::refused);
     s.change([](store_state& x) {
         x.fault = {};
-        x.fault.many = true;
+        x.fault.too_many_requests = true;
     });
-    EXPECT_FALSE(c.list_rows(table, last));
-    EXPECT_EQ(last, store_error::refused);
+    EXPECT_FALSE(c.list_rows(table, error));
+    EXPECT_EQ(error, store_error::refused);
     s.change([](store_state& x) {
         x.fault = {};
-        x.fault.silent = true;
+        x.fault.unresponsive = true;
     });
-    EXPECT_FALSE(c.list_rows(table, last));
-    EXPECT_EQ(last, store_error::unclear);
+    EXPECT_FALSE(c.list_rows(table, error));
+    EXPECT_EQ(error, store_error::unclear);
     s.change([](store_state& x) { x.fault = {}; });
-    EXPECT_TRUE(c.list_rows(table, last));
-    const auto nobody = make_store_client({"127.0.0.1", 1}, bound);
-    EXPECT_FALSE(nobody.list_rows(table, last));
-    EXPECT_EQ(last, store_error::unreachable);
+    EXPECT_TRUE(c.list_rows(table, error));
+    const auto nobody = make_store_client({"127.0.0.1", 1}, call_timeout);
+    EXPECT_FALSE(nobody.list_rows(table, error));
+    EXPECT_EQ(error, store_error::unreachable);
 }
 
-TEST(platform_store, objects_are_kept)
+TEST(platform_store, objects_are_stored)
 {
     running_store s;
     const auto c = s.client();
-    store_error last{};
-    EXPECT_TRUE(c.put_object("x", "content", last));
-    EXPECT_EQ(c.get_object("x", last), "content");
-    EXPECT_FALSE(c.get_object("y", last));
-    EXPECT_EQ(last, store_error::missing);
+    store_error error{};
+    EXPECT_TRUE(c.put_object("x", "content", error));
+    EXPECT_EQ(c.get_object("x", error), "content");
+    EXPECT_FALSE(c.get_object("y", error));
+    EXPECT_EQ(error, store_error::missing);
 }
 
 } // namespace
