--- a/bench/ejection_detectors.hpp
+++ b/bench/ejection_detectors.hpp
@@ -2,7 +2,7 @@
 // implemented after their published descriptions.
 #pragma once
 
-#include "bench/ejection_world.hpp"
+#include "bench/ejection_simulation.hpp"
 
 namespace jasminetray {
 
--- a/bench/ejection_world.cpp
+++ b/bench/ejection_simulation.cpp
@@ -1,5 +1,5 @@
 // Simulation of a service and its failures, for the ejection bench.
-#include "bench/ejection_world.hpp"
+#include "bench/ejection_simulation.hpp"
 
 #include <algorithm>
 #include <cmath>
