--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -222,18 +222,18 @@
     auto edited = text;
     edited.replace(edited.rfind("rate = "), 7, "rate = 9");
     std::set<std::uint64_t> known_chunks;
-    for (const auto& chunk : cut_chunks(text))
+    for (const auto& chunk : split_chunks(text))
         known_chunks.insert(text_hash(chunk));
     double transferred = 0;
     double manifest = 0;
     std::vector<std::uint64_t> hashes;
-    for (const auto& chunk : cut_chunks(edited)) {
+    for (const auto& chunk : split_chunks(edited)) {
         hashes.push_back(text_hash(chunk));
         if (known_chunks.count(hashes.back()) == 0)
             transferred += static_cast<double>(chunk.size());
     }
     double longest = 0;
-    for (const auto& list : cut_lists(hashes)) {
+    for (const auto& list : split_lists(hashes)) {
         manifest += 19; // bytes of a hash in JSON
         longest = std::max(longest, static_cast<double>(list.size()));
     }
--- a/src/config/config_check.cpp
+++ b/src/config/config_check.cpp
@@ -173,12 +173,12 @@
 /// What is wrong with a route on its own; empty when nothing is.
 std::string blame_route(const fleet_config& c, const route_config& r)
 {
-    if (!r.unclear.empty())
+    if (!r.unclear_reason.empty())
         return "";
     if (r.path.empty() || r.service.empty())
         return " needs both path and service";
     std::vector<std::string> named{r.service};
-    for (const auto& p : r.parts)
+    for (const auto& p : r.weighted_services)
         named.push_back(p.service);
     for (const auto& name : named) {
         if (c.service_index.count(name) == 0)
@@ -227,9 +227,9 @@
             if (is_valid_key(key))
                 given.push_back({key, place});
             else
-                c.notes.push_back("team " + name +
-                                  ": a key that no caller can show is left "
-                                  "out");
+                c.warnings.push_back("team " + name +
+                                     ": a key that no caller can show is left "
+                                     "out");
         }
         team.keys = {};
     }
--- a/src/config/config_query.cpp
+++ b/src/config/config_query.cpp
@@ -56,13 +56,13 @@
     return std::find(methods.begin(), methods.end(), method) != methods.end();
 }
 
-const std::string& choose_part(const route_config& r, double at)
+const std::string& choose_weighted_service(const route_config& r, double at)
 {
     double sum = 0;
-    for (const auto& p : r.parts)
+    for (const auto& p : r.weighted_services)
         sum += p.weight;
     at *= sum;
-    for (const auto& p : r.parts) {
+    for (const auto& p : r.weighted_services) {
         at -= p.weight;
         if (at < 0)
             return p.service;
--- a/src/config/config_query.hpp
+++ b/src/config/config_query.hpp
@@ -23,7 +23,7 @@
 
 /// Service of a route's part at a place between 0 and 1, where each part
 /// takes as much room as its weight.
-const std::string& choose_part(const route_config& r, double at);
+const std::string& choose_weighted_service(const route_config& r, double at);
 
 /// Slots of a service that must stay in use.
 /// @param s the service
--- a/src/config/config_store.cpp
+++ b/src/config/config_store.cpp
@@ -53,13 +53,13 @@
     config_manifest m;
     for (const auto& f : files) {
         std::vector<std::uint64_t> chunks;
-        for (const auto& c : cut_chunks(f.content)) {
+        for (const auto& c : split_chunks(f.content)) {
             chunks.push_back(text_hash(c));
             if (!p.put_object(chunk_name(chunks.back()), c, last))
                 return std::nullopt;
         }
         m.files.push_back({f.name, {}});
-        for (const auto& l : cut_lists(chunks)) {
+        for (const auto& l : split_lists(chunks)) {
             m.files.back().lists.push_back(text_hash(l));
             if (!p.put_object(list_name(text_hash(l)), l, last))
                 return std::nullopt;
@@ -109,7 +109,7 @@
 submit_result settle(const store_api& p, const submission& s,
                      const config_head& ours, bool was_refused)
 {
-    for (int n = 0; n < s.settle_tries; ++n) {
+    for (int n = 0; n < s.max_resolve_attempts; ++n) {
         store_error last{};
         const auto row = read_history(p, ours.version, last);
         if (row && row->submission == s.id)
@@ -126,15 +126,15 @@
             return not_accepted(store_error::conflict, "moving the head");
         if (last == store_error::missing) {
             submit_result r;
-            r.outcome = submit_outcome::unsettled;
+            r.outcome = submit_outcome::undetermined;
             r.reason = "again";
             return r;
         }
-        if (s.pause)
-            s.pause();
+        if (s.wait_before_retry)
+            s.wait_before_retry();
     }
     submit_result r;
-    r.outcome = submit_outcome::unsettled;
+    r.outcome = submit_outcome::undetermined;
     r.reason = "the store went out after the write was sent; ask `config "
                "history` for submission " +
                s.id + " when it is back";
@@ -143,7 +143,7 @@
 
 } // namespace
 
-std::vector<std::string> cut_chunks(const std::string& text)
+std::vector<std::string> split_chunks(const std::string& text)
 {
     std::vector<std::string> chunks;
     std::string chunk;
@@ -222,7 +222,7 @@
                        whole_at(*o, "rolled_back_to")};
 }
 
-std::vector<std::string> cut_lists(const std::vector<std::uint64_t>& chunks)
+std::vector<std::string> split_lists(const std::vector<std::uint64_t>& chunks)
 {
     std::vector<std::string> lists(1);
     for (const auto hash : chunks) {
@@ -292,7 +292,7 @@
     const std::vector<row_write> writes = {
         {{config_table, head_key}, head->row, to_text(ours), false},
         {{config_table, history_key(ours.version)}, 0, to_text(ours), false}};
-    for (int n = 0; n < s.settle_tries; ++n) {
+    for (int n = 0; n < s.max_resolve_attempts; ++n) {
         if (p.write_rows(writes, last))
             return {submit_outcome::accepted, ours, "", {}};
         if (last == store_error::unreachable && n == 0)
@@ -302,9 +302,9 @@
             return r;
     }
     submit_result r;
-    r.outcome = submit_outcome::unsettled;
-    r.reason = "the store answered none of " + std::to_string(s.settle_tries) +
-               " writes";
+    r.outcome = submit_outcome::undetermined;
+    r.reason = "the store answered none of " +
+               std::to_string(s.max_resolve_attempts) + " writes";
     return r;
 }
 
--- a/src/config/config_store.hpp
+++ b/src/config/config_store.hpp
@@ -42,7 +42,7 @@
     invalid,      ///< the files are wrong; see the reason
     lost_race,    ///< another submission came first
     not_accepted, ///< the store did not take it and never will
-    unsettled,    ///< sent; the store went out before it could be asked
+    undetermined, ///< sent; the store went out before it could be asked
 };
 
 inline constexpr std::array<std::string_view, 5> submit_outcome_names = {
@@ -65,13 +65,13 @@
     std::string id;             ///< unique
     std::uint64_t expected = 0; ///< version it is based on; 0 for current
     std::uint64_t rolled_back_to = 0;
-    int settle_tries = 30;       ///< reads to settle a lost answer
-    std::function<void()> pause; ///< between tries; may be empty
+    int max_resolve_attempts = 30; ///< reads to settle a lost answer
+    std::function<void()> pause;   ///< between tries; may be empty
 };
 
 /// Cuts text into chunks at section starts chosen by their own content, so
 /// that an edit changes one chunk and leaves the others' hashes alone.
-std::vector<std::string> cut_chunks(const std::string& text);
+std::vector<std::string> split_chunks(const std::string& text);
 
 /// Manifest as text and back.
 std::string to_text(const config_manifest& m);
@@ -83,7 +83,7 @@
 
 /// Cuts hashes into lists, at hashes chosen by their own value: an edit
 /// changes one list of some dozens, and not one manifest of thousands.
-std::vector<std::string> cut_lists(const std::vector<std::uint64_t>& chunks);
+std::vector<std::string> split_lists(const std::vector<std::uint64_t>& chunks);
 
 /// Names in the object store.
 std::string list_name(std::uint64_t hash);
--- a/src/config/config_type.hpp
+++ b/src/config/config_type.hpp
@@ -69,18 +69,18 @@
 };
 
 /// How a caller's own retry of keyed work is recognised.
-enum class key_mode : std::uint8_t
+enum class idempotency_key_mode : std::uint8_t
 {
     claim, ///< a row in the table service; exact; refuses when it is down
     home,  ///< one worker by rendezvous hash; a hole when members change
     none,  ///< keys are passed through and mean nothing here
 };
 
-inline constexpr std::array<std::string_view, 3> key_mode_names = {
+inline constexpr std::array<std::string_view, 3> idempotency_key_mode_names = {
     "claim", "home", "none"};
 
 /// One part of a route whose requests are split between services.
-struct route_part
+struct weighted_service
 {
     std::string service; ///< name of a service
     double weight = 0;   ///< share of requests, relative to the others
@@ -89,19 +89,20 @@
 /// A route: which requests go to which service.
 struct route_config
 {
-    std::string name;                   ///< name in logs
-    std::string host;                   ///< exact host; empty for any
-    std::string path;                   ///< prefix, at a '/' boundary
-    std::string service;                ///< name of a service; of the first
-                                        ///< part when there are several
-    std::vector<route_part> parts;      ///< empty for all to `service`
-    int priority = 5;                   ///< 0 first, 9 last
-    span_us deadline_us = 2 * us_per_s; ///< from the caller's first byte
+    std::string name;                    ///< name in logs
+    std::string host;                    ///< exact host; empty for any
+    std::string path;                    ///< prefix, at a '/' boundary
+    std::string service;                 ///< name of a service; of the first
+                                         ///< part when there are several
+    std::vector<weighted_service> parts; ///< empty for all to `service`
+    int priority = 5;                    ///< 0 first, 9 last
+    span_us deadline_us = 2 * us_per_s;  ///< from the caller's first byte
     span_us target_us = 0; ///< an answer is worth all until then; 0 for none
     int attempts = 0;      ///< backend servers at most; 0 for the node's
     std::string idempotent = "GET,HEAD"; ///< methods that may run twice; *
                                          ///< for all
-    key_mode keys = key_mode::claim;     ///< what idempotency keys mean
+    idempotency_key_mode keys =
+        idempotency_key_mode::claim; ///< what idempotency keys mean
     bool open = false; ///< callers need no key, also where teams have keys
     /// Why it is not known where its requests go; empty for most. They are
     /// refused as not run, and the rest of the document is in force.
--- a/src/config/node_settings.cpp
+++ b/src/config/node_settings.cpp
@@ -62,14 +62,14 @@
            need(s.centre, "[node] data_centre") && need(s.key, "[cluster] key");
 }
 
-span_us stop_bound_of(const node_settings& s)
+span_us stop_timeout_for(const node_settings& s)
 {
     // A node that is still handing out answers when the kill comes closes on
     // their callers. The longer the grace, the slower the VMs it is meant for:
     // 0.4 s are left of 6 s, 0.67 s of 10 s.
     constexpr span_us kept_share = 15;
     return s.hosted.grace > 0 ? s.hosted.grace - s.hosted.grace / kept_share
-                              : s.stop_bound;
+                              : s.stop_timeout;
 }
 
 std::string settings_reference()
--- a/src/config/node_settings.hpp
+++ b/src/config/node_settings.hpp
@@ -67,7 +67,7 @@
     span_us quiet = us_per_s;     ///< a quiet connection is pinged after it
     span_us drain = 2 * us_per_s; ///< between "leaving" and closing doors
     /// For work in flight at the end, where no platform tells a grace.
-    span_us stop_bound = 30 * us_per_s;
+    span_us stop_timeout = 30 * us_per_s;
     int hold_bytes = 65536; ///< answers up to this are held whole
     int max_body = 1048576; ///< of a caller's request
     int max_attempts = 3;
@@ -90,7 +90,7 @@
 
 /// How long work in flight has when the node is asked to stop: until shortly
 /// before the platform kills it, or what the settings say where it does not.
-span_us stop_bound_of(const node_settings& s);
+span_us stop_timeout_for(const node_settings& s);
 
 /// Reference of all settings as markdown.
 std::string settings_reference();
--- a/src/ctl/ctl_config.cpp
+++ b/src/ctl/ctl_config.cpp
@@ -93,12 +93,12 @@
         return exit_success;
     }
     std::cerr << name << ": " << r.reason << "\n";
-    for (const auto& f : r.differ)
+    for (const auto& f : r.differing_files)
         std::cerr << "differs: " << f << "\n";
     switch (r.outcome) {
     case submit_outcome::invalid:
         return exit_usage;
-    case submit_outcome::unsettled:
+    case submit_outcome::undetermined:
         return exit_unsettled;
     default:
         return exit_not_accepted;
@@ -119,7 +119,7 @@
     s.author = FLAGS_author.empty() ? "operator" : FLAGS_author;
     s.id = new_submission_id();
     s.expected = FLAGS_based_on;
-    s.pause = [] {
+    s.wait_before_retry = [] {
         std::this_thread::sleep_for(std::chrono::milliseconds(500));
     };
     return s;
--- a/src/event/event_log.cpp
+++ b/src/event/event_log.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-const event_row& row_of(event_id id)
+const event_row& find_event_row(event_id id)
 {
     const auto it =
         std::find_if(event_table.begin(), event_table.end(),
@@ -23,9 +23,9 @@
     return it == event_table.end() ? event_table.back() : *it;
 }
 
-event_family family_of(event_id id)
+event_family event_family_of(event_id id)
 {
-    return static_cast<event_family>(number_of(id) / family_size - 1);
+    return static_cast<event_family>(event_number(id) / family_size - 1);
 }
 
 event_log::event_log(event_limits limits, google::LogSink* sink)
@@ -48,8 +48,8 @@
     if (budget.second != second) {
         if (budget.dropped > 0) {
             write_line(
-                std::to_string(number_of(event_id::log_lines_dropped)) +
-                " log_lines_dropped event=" + std::to_string(number_of(id)) +
+                std::to_string(event_number(event_id::log_lines_dropped)) +
+                " log_lines_dropped event=" + std::to_string(event_number(id)) +
                 " count=" + std::to_string(budget.dropped));
         }
         budget = line_budget{second, 0, 0};
@@ -68,8 +68,8 @@
     const auto wall_ms = static_cast<std::int64_t>(wall_ms_now());
     const std::lock_guard lock(mutex_);
     if (may_write_line(id, wall_ms)) {
-        write_line(std::to_string(number_of(id)) + ' ' +
-                   std::string(row_of(id).name) + ' ' + subject +
+        write_line(std::to_string(event_number(id)) + ' ' +
+                   std::string(find_event_row(id).name) + ' ' + subject +
                    " config=" + std::to_string(config_version_) + ' ' + detail);
     }
     keep(id, wall_ms, std::move(subject), std::move(detail));
@@ -85,8 +85,8 @@
 void event_log::keep(event_id id, std::int64_t wall_ms, std::string subject,
                      std::string detail)
 {
-    const auto n = static_cast<std::size_t>(family_of(id));
-    const auto limit = family_of(id) == event_family::routing
+    const auto n = static_cast<std::size_t>(event_family_of(id));
+    const auto limit = event_family_of(id) == event_family::routing
                            ? limits_.routing_records
                            : limits_.other_records;
     if (rings_[n].size() >= limit) {
@@ -140,8 +140,8 @@
            "events`; a test compares the two.\n\n"
            "| number | name | meaning | what to do |\n|---|---|---|---|\n";
     for (const auto& r : event_table) {
-        out << "| " << number_of(r.id) << " | " << r.name << " | " << r.meaning
-            << " | " << r.action << " |\n";
+        out << "| " << event_number(r.id) << " | " << r.name << " | "
+            << r.meaning << " | " << r.action << " |\n";
     }
     return out.str();
 }
--- a/src/event/event_log.hpp
+++ b/src/event/event_log.hpp
@@ -78,8 +78,8 @@
     std::uint64_t serial_ = 0;
     std::uint64_t dropped_ = 0;
     // Invariant: a ring never holds more than its limit of records.
-    std::array<std::deque<event_record>, event_families> rings_;
-    std::array<std::uint64_t, event_families> overwritten_{};
+    std::array<std::deque<event_record>, event_family_count> rings_;
+    std::array<std::uint64_t, event_family_count> overwritten_{};
     std::map<event_id, line_budget> budgets_;
 };
 
--- a/src/event/event_type.hpp
+++ b/src/event/event_type.hpp
@@ -102,7 +102,7 @@
     process,
 };
 
-constexpr std::size_t event_families = 6; ///< number of families
+constexpr std::size_t event_family_count = 6; ///< number of families
 
 /// One row of the event catalogue.
 struct event_row
@@ -125,13 +125,13 @@
 };
 
 /// Row of an event; every event_id has one.
-const event_row& row_of(event_id id);
+const event_row& find_event_row(event_id id);
 
 /// Family of an event, from the thousands of its number.
-event_family family_of(event_id id);
+event_family event_family_of(event_id id);
 
 /// Number as a whole number.
-constexpr int number_of(event_id id)
+constexpr int event_number(event_id id)
 {
     return static_cast<int>(id);
 }
--- a/src/event/log_writer.cpp
+++ b/src/event/log_writer.cpp
@@ -67,7 +67,7 @@
     std::string text;
     text.swap(waiting);
     if (left_out > told) {
-        text += std::to_string(number_of(event_id::log_lines_dropped)) +
+        text += std::to_string(event_number(event_id::log_lines_dropped)) +
                 " log_lines_dropped event=all count=" +
                 std::to_string(left_out - told) + " reason=output-blocked\n";
         told = left_out;
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -16,8 +16,9 @@
 
 constexpr std::size_t max_records = 200;
 
-inline constexpr std::array<std::string_view, event_families> family_names = {
-    "routing", "health", "membership", "configuration", "operation", "process"};
+inline constexpr std::array<std::string_view, event_family_count> family_names =
+    {"routing",       "health",    "membership",
+     "configuration", "operation", "process"};
 
 std::string hex(worker_id id)
 {
@@ -109,8 +110,8 @@
 
 json::object record_json(const event_record& r)
 {
-    const auto& row = row_of(r.id);
-    return {{"event", number_of(r.id)},
+    const auto& row = find_event_row(r.id);
+    return {{"event", event_number(r.id)},
             {"name", row.name},
             {"wall_ms", r.wall_ms},
             {"config_version", static_cast<std::int64_t>(r.config_version)},
@@ -152,7 +153,7 @@
     return {{"node", n.settings.name},
             {"records", records},
             {"overwritten_up_to",
-             static_cast<std::int64_t>(n.events.overwritten(*family))}};
+             static_cast<std::int64_t>(n.events.last_overwritten(*family))}};
 }
 
 json::object find_answer(const node_state& n, const json::object& q)
--- a/src/node/admin_team.cpp
+++ b/src/node/admin_team.cpp
@@ -26,7 +26,7 @@
         {"served", can_verify_keys(n)},
         {"version", static_cast<std::int64_t>(n.fresh.in_force)},
         {"proven_version", static_cast<std::int64_t>(n.fresh.proof.version)},
-        {"bound_ms", n.settings.hosted.revoke_bound / us_per_ms}};
+        {"bound_ms", n.settings.hosted.revocation_bound / us_per_ms}};
     if (age)
         o["age_ms"] = *age / us_per_ms;
     return o;
--- a/src/node/config_actor.cpp
+++ b/src/node/config_actor.cpp
@@ -91,7 +91,7 @@
                     "hash=" + to_hex(hash) +
                         " services=" + std::to_string(c.services.size()) +
                         " routes=" + std::to_string(c.routes.size()));
-    for (const auto& note : c.notes)
+    for (const auto& note : c.warnings)
         x.events->write(event_id::config_unclear,
                         "version-" + std::to_string(c.version), note);
     x.sinks.config_ready(std::make_shared<const fleet_config>(std::move(c)));
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -90,9 +90,9 @@
     const auto it = r.n.view.nodes.find(exit);
     const bool stale = it == r.n.view.nodes.end() ||
                        it->second.stamp_boot != it->second.record.boot ||
-                       now - it->second.stamp_at > r.n.settings.quiet;
-    return stale ||
-           (connection.used && now - connection.last_used > r.n.settings.quiet);
+                       now - it->second.stamp_at > r.n.settings.idle_ping_after;
+    return stale || (connection.used &&
+                     now - connection.last_used > r.n.settings.idle_ping_after);
 }
 
 /// Returns an idle or new connection that is safe for this request, or null.
@@ -208,8 +208,9 @@
         t.parser->body_limit(boost::none);
         if (r.message.method() == http::verb::head)
             t.parser->skip(true);
-        ec = read_buffered(*t.connection, *t.parser,
-                           static_cast<std::size_t>(n.settings.hold_bytes), y);
+        ec =
+            read_buffered(*t.connection, *t.parser,
+                          static_cast<std::size_t>(n.settings.max_buffered), y);
     }
     if (ec) {
         if (!t.cancelled)
@@ -343,7 +344,8 @@
 
 void record_path_result(node_state& n, node_id exit, bool lost)
 {
-    if (exit == n.self.id || !n.settings.experiment.has(mechanism::path_guard))
+    if (exit == n.self.id ||
+        !n.settings.experiment.is_enabled(mechanism::path_avoidance))
         return;
     log_path_step(
         n, exit,
--- a/src/node/entry_refusal.cpp
+++ b/src/node/entry_refusal.cpp
@@ -29,12 +29,12 @@
     const std::string outcome(name_of(final_outcome_names, x.outcome));
     m.set(caller_field::outcome, outcome);
     m.set(caller_field::reason, x.reason);
-    m.set(caller_field::event, std::to_string(number_of(x.event)));
+    m.set(caller_field::event, std::to_string(event_number(x.event)));
     m.set(caller_field::request, to_text(id));
     m.set(http::field::content_type, "application/json");
     json::object body{{"outcome", outcome},
                       {"reason", x.reason},
-                      {"event", number_of(x.event)},
+                      {"event", event_number(x.event)},
                       {"request", to_text(id)}};
     if (x.retry_after > 0) {
         const auto ms = std::max<span_us>(1, x.retry_after / us_per_ms);
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -73,13 +73,13 @@
 /// keeps to the configured shares even over short runs of requests.
 const std::string& choose_service(node_state& n, const route_config& r)
 {
-    if (r.parts.empty())
+    if (r.weighted_services.empty())
         return r.service;
     const auto [it, inserted] = n.split_places.try_emplace(r.name, 0.0);
     if (inserted)
         it->second = random_unit(n.rng);
     it->second = std::fmod(it->second + golden_ratio_step, 1.0);
-    return choose_part(r, it->second);
+    return choose_weighted_service(r, it->second);
 }
 
 /// Finds the route and service of a request and checks the node's limits.
@@ -102,7 +102,7 @@
         x.reason = "no-route";
         return x;
     }
-    if (!r.route->unclear.empty()) {
+    if (!r.route->unclear_reason.empty()) {
         x.event = event_id::refused_unclear;
         x.reason = "route-unclear";
         x.retry_after = us_per_s;
@@ -170,10 +170,10 @@
         answer.set(caller_field::request, to_text(r.id));
     }
     count(*n.metrics.requests, "outcome", "answered");
-    n.events.note(event_id::request_answered, r.label,
-                  "status=" + std::to_string(answer.result_int()) +
-                      " attempts=" + std::to_string(r.attempts.size()) +
-                      " us=" + std::to_string(mono_now() - r.received_at));
+    n.events.record(event_id::request_answered, r.label,
+                    "status=" + std::to_string(answer.result_int()) +
+                        " attempts=" + std::to_string(r.attempts.size()) +
+                        " us=" + std::to_string(mono_now() - r.received_at));
     if (!t.parser->is_done()) {
         if (relay_answer(*t.connection, *t.parser, answer.base(), c.stream,
                          write_timeout, y))
@@ -279,7 +279,7 @@
 {
     constexpr double target_share = 0.8;
     if (r.route->target_us == 0)
-        return n.settings.silence;
+        return n.settings.response_timeout;
     return idempotent
                ? static_cast<span_us>(target_share *
                                       static_cast<double>(r.route->target_us))
@@ -294,14 +294,14 @@
     const auto max_attempts =
         r.route->attempts > 0 ? r.route->attempts : n.settings.max_attempts;
     p.max_attempts = static_cast<std::uint32_t>(max_attempts);
-    if (!n.settings.experiment.has(mechanism::retries))
+    if (!n.settings.experiment.is_enabled(mechanism::retries))
         p.max_attempts = 1;
     p.response_timeout = response_timeout(n, r, p.idempotent);
     p.revoke_margin = std::min(p.revoke_margin, r.route->deadline_us / 4);
     if (n.balance.estimate.on) {
         p.max_tries = max_gates;
-        p.use_fallback =
-            p.idempotent && n.settings.experiment.has(mechanism::last_resort);
+        p.use_fallback = p.idempotent &&
+                         n.settings.experiment.is_enabled(mechanism::fallback);
         if (r.message.body().size() > large_body_bytes) {
             p.max_tries = max_gates_large_body;
             p.use_fallback = false;
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -174,7 +174,7 @@
 bool can_verify_keys(const node_state& n)
 {
     return !n.config || !n.config->keys_required ||
-           is_proven_fresh(n.fresh, n.settings.hosted.revoke_bound,
+           is_proven_fresh(n.fresh, n.settings.hosted.revocation_bound,
                            uptime_now());
 }
 
@@ -237,7 +237,7 @@
     if (r.limit.rate <= 0)
         return std::nullopt;
     auto answer =
-        n.settings.experiment.has(mechanism::allowance_homes)
+        n.settings.experiment.is_enabled(mechanism::allowance_owners)
             ? request_grant(n, {r.team_hash, r.limit, max_token_wait(r), false},
                             y)
             : std::nullopt;
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -177,7 +177,7 @@
         (w.request.entry_stopping ? " leaving=1" : "");
     // Short waits are frequent under load; they get no log line.
     if (waited < min_logged_wait && refused == gate_error::none)
-        n.events.note(event_id::work_waited, logged_id(n, w), text);
+        n.events.record(event_id::work_waited, logged_id(n, w), text);
     else
         n.events.write(event_id::work_waited, logged_id(n, w), text);
 }
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -14,20 +14,20 @@
 {
     const auto& e = n.settings.experiment;
     auto& gate = n.door.limits;
-    const bool doubt = e.has(mechanism::doubt);
+    const bool doubt = e.is_enabled(mechanism::failure_estimation);
     gate.doubt.on = doubt;
     n.balance.estimate.on = doubt;
-    gate.late_forecast = e.has(mechanism::late_forecast);
-    gate.short_first = e.has(mechanism::short_first);
-    n.placing.on = doubt && e.has(mechanism::placing);
-    gate.early_success.enabled = e.has(mechanism::survival);
-    if (!e.has(mechanism::quick_probe))
+    gate.late_forecast = e.is_enabled(mechanism::late_forecast);
+    gate.short_first = e.is_enabled(mechanism::short_first);
+    n.placing.on = doubt && e.is_enabled(mechanism::placement);
+    gate.early_success.enabled = e.is_enabled(mechanism::early_success);
+    if (!e.is_enabled(mechanism::early_probe_success))
         gate.doubt.fast_failure_time = 0;
-    if (!e.has(mechanism::probe_work)) {
+    if (!e.is_enabled(mechanism::probe_traffic)) {
         n.placing.probe_share = 0;
         n.placing.probe_share_per_candidate = 0;
     }
-    if (!e.has(mechanism::refusal_memory))
+    if (!e.is_enabled(mechanism::refusal_memory))
         n.placing.refusal_memory = 0;
 }
 
@@ -49,10 +49,10 @@
     case tunable::far_share:
         place.far_share *= x.factor;
         break;
-    case tunable::probe_every:
+    case tunable::probe_interval:
         gate.doubt.probe_every = scale_time(gate.doubt.probe_every, x.factor);
         break;
-    case tunable::sick_span:
+    case tunable::unhealthy_span:
         gate.doubt.unhealthy_span =
             scale_time(gate.doubt.unhealthy_span, x.factor);
         n.balance.estimate.unhealthy_span = gate.doubt.unhealthy_span;
--- a/src/node/feed_actor.cpp
+++ b/src/node/feed_actor.cpp
@@ -43,7 +43,7 @@
     const auto& table = k.context->start.documents.at.table;
     if (!k.position)
         return store.list_rows(table, last);
-    const bool prove = k.context->start.settings.hosted.revoke_bound > 0;
+    const bool prove = k.context->start.settings.hosted.revocation_bound > 0;
     const auto least = prove ? min_proof_wait : min_wait;
     const auto span = (prove ? max_proof_wait : max_wait) - least;
     const auto wait = least + static_cast<span_us>(random_below(
@@ -74,7 +74,7 @@
             self->send(config, document_message{r.row.value});
     }
     if (found->store_time &&
-        k.context->start.settings.hosted.revoke_bound > 0) {
+        k.context->start.settings.hosted.revocation_bound > 0) {
         self->send(members, store_time_message{*found->store_time, sent});
         self->send(config, read_until_message{*found->store_time});
     }
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -96,7 +96,7 @@
     n.config_at = mono_now();
     set_version_in_force(n.fresh, n.config->version);
     n.metrics.config_unclear->Increment(
-        static_cast<double>(n.config->notes.size()));
+        static_cast<double>(n.config->warnings.size()));
     n.service_places.clear();
     for (std::size_t k = 0; k < n.config->services.size(); ++k)
         n.service_places[service_of(n.config->services[k].name)] = k;
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -170,7 +170,7 @@
 
 void evaluate_worker(node_state& n, local_worker& w, mono_us now)
 {
-    if (!n.settings.experiment.has(mechanism::verdicts))
+    if (!n.settings.experiment.is_enabled(mechanism::outlier_ejection))
         return;
     switch (health_check(w.health, w.policy, now)) {
     case outlier_action::ask_peers:
@@ -244,7 +244,7 @@
 
 void publish_load_reports(node_state& n, mono_us now)
 {
-    if (!n.settings.experiment.has(mechanism::load_news))
+    if (!n.settings.experiment.is_enabled(mechanism::load_updates))
         return;
     std::vector<load_report> changed;
     for (auto& [id, w] : n.workers) {
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -132,9 +132,9 @@
         [&n, to, path](const yield& y) {
             const auto p = probe_worker(n, to, path, y);
             n.hosted.probing = false;
-            n.events.note(event_id::worker_probed, p.name,
-                          "reached=" + std::to_string(p.reached) +
-                              " healthy=" + std::to_string(p.healthy));
+            n.events.record(event_id::worker_probed, p.name,
+                            "reached=" + std::to_string(p.reached) +
+                                " healthy=" + std::to_string(p.healthy));
             apply_probe_result(n, p);
         },
         asio::detached);
--- a/src/node/idempotency_key.cpp
+++ b/src/node/idempotency_key.cpp
@@ -60,11 +60,11 @@
 {
     const auto key = header_value(r.message, caller_field::key);
     if (key.empty() || r.machine.policy.idempotent ||
-        r.route->keys == key_mode::none)
+        r.route->idempotency_keys == idempotency_key_mode::none)
         return std::nullopt;
     const auto hash = text_hash(r.route->name + "\n" + key);
     refusal x;
-    if (r.route->keys == key_mode::home) {
+    if (r.route->idempotency_keys == idempotency_key_mode::rendezvous) {
         const auto& candidates = n.view.services[r.service_key].candidates;
         const auto index = rendezvous_worker(candidates, hash);
         if (index)
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -61,7 +61,8 @@
 {
     explicit node_parts(const node_settings& s)
         : settings(s), log(STDOUT_FILENO, max_log),
-          events({4096, 1024, static_cast<std::size_t>(s.log_lines)}, &log),
+          events({4096, 1024, static_cast<std::size_t>(s.log_lines_per_second)},
+                 &log),
           metrics(make_node_metrics()), entry(ctx), exit(ctx), admin(ctx),
           hosted_control(ctx), hosted_ready(ctx), gossip(ctx), ticker(ctx),
           signals(ctx, SIGTERM, SIGINT), reload(ctx, SIGHUP),
@@ -333,7 +334,7 @@
     n.fingerprints = make_fingerprint_key(s.key);
     n.quarantine.policy.crashes =
         static_cast<std::size_t>(s.quarantine.crashes);
-    n.quarantine.policy.mark_ttl = s.quarantine.memory;
+    n.quarantine.policy.mark_ttl = s.quarantine.crash_ttl;
 }
 
 void turn_off_safeguards(node_state& n)
@@ -509,8 +510,8 @@
     p.events.write(event_id::process_stopping, p.settings.name, "");
     deliver_gate_decisions(p.state, gate_stop(p.state.door, now));
     p.state.stopping = true;
-    p.close_at = now + p.settings.drain;
-    p.stop_at = now + stop_bound_of(p.settings);
+    p.close_at = now + p.settings.drain_time;
+    p.stop_at = now + stop_timeout_for(p.settings);
     p.state.refuse_at = p.close_at;
     p.state.last_answer_at = p.stop_at - answer_margin;
     shorten_deadlines(p.state);
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -101,7 +101,7 @@
 {
     // Avoids hashing requests while none is suspect.
     if (n.quarantine.marks_by_request.empty() ||
-        !n.settings.experiment.has(mechanism::quarantine))
+        !n.settings.experiment.is_enabled(mechanism::quarantine))
         return false;
     return is_quarantined(n.quarantine, cached_fingerprint(n, m, cache));
 }
--- a/src/node/settings_reload.cpp
+++ b/src/node/settings_reload.cpp
@@ -31,10 +31,10 @@
         return;
     }
     settings.stamp_bound = s->stamp_bound;
-    settings.silence = s->silence;
-    settings.quiet = s->quiet;
-    settings.drain = s->drain;
-    settings.stop_bound = s->stop_bound;
+    settings.response_timeout = s->response_timeout;
+    settings.idle_ping_after = s->idle_ping_after;
+    settings.drain_time = s->drain_time;
+    settings.stop_timeout = s->stop_timeout;
     settings.max_in_flight = s->max_in_flight;
     settings.service_in_flight = s->service_in_flight;
     settings.max_attempts = s->max_attempts;
--- a/src/node/worker_request.cpp
+++ b/src/node/worker_request.cpp
@@ -31,7 +31,8 @@
                                                 const yield& y)
 {
     const auto now = mono_now();
-    const auto since = now - (r.idempotent ? max_idle_age : n.settings.quiet);
+    const auto since =
+        now - (r.idempotent ? max_idle_age : n.settings.idle_ping_after);
     if (auto link = take_idle_connection(w.idle, since))
         return link;
     auto link = std::make_unique<http_connection>(n.ctx);
@@ -230,8 +231,9 @@
         a.parser = std::make_unique<response_parser>();
         a.parser->body_limit(boost::none);
         a.parser->skip(head_only);
-        ec = read_buffered(*a.link, *a.parser,
-                           static_cast<std::size_t>(n.settings.hold_bytes), y);
+        ec =
+            read_buffered(*a.link, *a.parser,
+                          static_cast<std::size_t>(n.settings.max_buffered), y);
         const bool duplicate = !ec && a.link->used && a.parser->is_done() &&
                                a.parser->keep_alive() &&
                                !reports_not_run(n, f, a.parser->get()) &&
--- a/src/table/config_table.hpp
+++ b/src/table/config_table.hpp
@@ -76,25 +76,25 @@
 }
 
 /// Reads "NAME:WEIGHT, NAME:WEIGHT" into a route's parts.
-inline bool set_parts(route_config& c, std::string_view s)
+inline bool set_split(route_config& c, std::string_view s)
 {
-    c.parts.clear();
+    c.weighted_services.clear();
     double sum = 0;
     for (const auto& text : split(s, ',')) {
         const auto colon = text.rfind(':');
         const auto weight = colon == std::string::npos
                                 ? std::nullopt
                                 : parse_double(trim(text.substr(colon + 1)));
-        route_part part;
+        weighted_service part;
         part.service = trim(std::string_view(text).substr(0, colon));
         part.weight = weight.value_or(-1);
         if (part.service.empty() || part.weight < 0)
             return false;
         sum += part.weight;
-        c.parts.push_back(std::move(part));
+        c.weighted_services.push_back(std::move(part));
     }
     if (sum > 0)
-        c.service = c.parts.front().service;
+        c.service = c.weighted_services.front().service;
     return sum > 0;
 }
 
@@ -216,7 +216,7 @@
                               return !s.empty();
                           },
                           "the name of a service", "where requests go"},
-    key_row<route_config>{"split", set_parts, "NAME:WEIGHT with commas",
+    key_row<route_config>{"split", set_split, "NAME:WEIGHT with commas",
                           "several services with their shares of requests"},
     key_row<route_config>{"attempts",
                           [](route_config& c, std::string_view s) {
@@ -251,12 +251,12 @@
                           },
                           "methods with commas, none, or * for all",
                           "methods that may run more than once"},
-    key_row<route_config>{"keys",
-                          [](route_config& c, std::string_view s) {
-                              return set_name(c.keys, key_mode_names, s);
-                          },
-                          "claim, home or none",
-                          "what a caller's idempotency key does"},
+    key_row<route_config>{
+        "keys",
+        [](route_config& c, std::string_view s) {
+            return set_name(c.keys, idempotency_key_mode_names, s);
+        },
+        "claim, home or none", "what a caller's idempotency key does"},
     key_row<route_config>{"open",
                           [](route_config& c, std::string_view s) {
                               return set_yes_no(c.open, s);
--- a/src/table/settings_table.hpp
+++ b/src/table/settings_table.hpp
@@ -239,14 +239,14 @@
     settings_row{"limits",
                  {"silence_ms",
                   [](node_settings& s, std::string_view v) {
-                      return set_ms(s.silence, v, 5, 60000);
+                      return set_ms(s.response_timeout, v, 5, 60000);
                   },
                   "5 to 60000 milliseconds",
                   "without an answer, before a second attempt or a revoke"}},
     settings_row{"limits",
                  {"quiet_ms",
                   [](node_settings& s, std::string_view v) {
-                      return set_ms(s.quiet, v, 10, 60000);
+                      return set_ms(s.idle_ping_after, v, 10, 60000);
                   },
                   "10 to 60000 milliseconds",
                   "a connection quiet for longer is pinged before "
@@ -254,7 +254,7 @@
     settings_row{"limits",
                  {"drain_ms",
                   [](node_settings& s, std::string_view v) {
-                      return set_ms(s.drain, v, 0, 60000);
+                      return set_ms(s.drain_time, v, 0, 60000);
                   },
                   "0 to 60000 milliseconds",
                   "between saying that it leaves and closing the doors"}},
@@ -262,7 +262,7 @@
                  {"stop_ms",
                   [](node_settings& s,
                      std::string_view
-                         v) { return set_ms(s.stop_bound, v, 100, 600000); },
+                         v) { return set_ms(s.stop_timeout, v, 100, 600000); },
                   "100 to 600000 milliseconds",
                   "for work in flight when it stops"}},
     settings_row{
@@ -270,7 +270,7 @@
         {"hold_bytes",
          [](node_settings& s,
             std::string_view
-                v) { return set_int(s.hold_bytes, v, 1024, 16 << 20); },
+                v) { return set_int(s.max_buffered, v, 1024, 16 << 20); },
          "1024 to 16777216", "answers up to this are held whole"}},
     settings_row{"limits",
                  {"most_body",
@@ -369,7 +369,7 @@
                  {"revoke_s",
                   [](node_settings& s, std::string_view v) {
                       return v.empty() ||
-                             set_seconds(s.hosted.revoke_bound, v, 3600);
+                             set_seconds(s.hosted.revocation_bound, v, 3600);
                   },
                   "seconds",
                   "after which a key that was taken away works nowhere; keyed "
@@ -405,7 +405,7 @@
         "log",
         {"lines_per_second",
          [](node_settings& s,
-            std::string_view v) { return set_int(s.log_lines, v, 0, 1000000); },
+            std::string_view v) { return set_int(s.log_lines_per_second, v, 0, 1000000); },
          "0 to 1000000", "of one event; the rest is counted"}},
     settings_row{"quarantine",
                  {"crashes",
@@ -418,7 +418,7 @@
     settings_row{"quarantine",
                  {"memory_s",
                   [](node_settings& s, std::string_view v) {
-                      return set_seconds(s.quarantine.memory, v, 864000);
+                      return set_seconds(s.quarantine.crash_ttl, v, 864000);
                   },
                   "seconds", "for which such an end counts"}},
     settings_row{"quarantine",
--- a/test/fuzz_member.cpp
+++ b/test/fuzz_member.cpp
@@ -174,7 +174,7 @@
     s.id = "submission-" + std::to_string(w.submissions.size());
     s.author = "operator-" + std::to_string(n);
     s.expected = based_on;
-    s.settle_tries = 5;
+    s.max_resolve_attempts = 5;
     s.files = {{"base.ini", "[fleet]\nname = fuzz-" + s.id + "\n"}};
     const auto r = jt::submit_config(jt::make_fake_store(w.store), s);
     w.submissions.push_back({s.id, r.outcome});
@@ -199,7 +199,7 @@
                                0,
                                0};
     const bool won = api.write_rows(
-        {{{"", "config-head"}, late.row, jt::to_text(ours), false},
+        {{{"", "config-head"}, late.row_version, jt::to_text(ours), false},
          {{"", "config-history-" + std::to_string(ours.version)},
           0,
           jt::to_text(ours),
@@ -224,7 +224,7 @@
         if (s.outcome == jt::submit_outcome::accepted && !in)
             return "an accepted submission is missing from the history";
         if (s.outcome != jt::submit_outcome::accepted &&
-            s.outcome != jt::submit_outcome::unsettled && in)
+            s.outcome != jt::submit_outcome::undetermined && in)
             return "a refused submission is in the history";
     }
     return "";
--- a/test/test_config.cpp
+++ b/test/test_config.cpp
@@ -29,7 +29,7 @@
     s.files = {{"base.ini", text}};
     s.author = "author-" + id;
     s.id = id;
-    s.settle_tries = 3;
+    s.max_resolve_attempts = 3;
     return s;
 }
 
@@ -100,8 +100,8 @@
         text += "[team team-" + std::to_string(n) + "]\nrate = 5\n";
     auto edited = text;
     edited.replace(edited.find("rate = 5", text.size() / 2), 8, "rate = 6");
-    const auto before = cut_chunks(text);
-    const auto after = cut_chunks(edited);
+    const auto before = split_chunks(text);
+    const auto after = split_chunks(edited);
     std::string joined;
     std::size_t changed = 0;
     for (std::size_t n = 0; n < after.size(); ++n) {
@@ -144,7 +144,7 @@
     p->lost_write_responses = 1;
     p->down_after_writes = 4; // chunk, list, manifest, head
     const auto r = submit_config(make_fake_store(p), make("one"));
-    EXPECT_EQ(r.outcome, submit_outcome::unsettled);
+    EXPECT_EQ(r.outcome, submit_outcome::undetermined);
     EXPECT_NE(r.reason.find("one"), std::string::npos);
 }
 
@@ -162,7 +162,7 @@
     const auto r = submit_config(api, second);
     EXPECT_EQ(r.outcome, submit_outcome::lost_race);
     EXPECT_EQ(r.head.author, "author-first");
-    EXPECT_EQ(r.differ, std::vector<std::string>{"base.ini"});
+    EXPECT_EQ(r.differing_files, std::vector<std::string>{"base.ini"});
 }
 
 TEST(config_submit, damaged_object_is_noticed)
@@ -198,9 +198,9 @@
 {
     const auto off = read_one("experiment", "off = last-resort, doubt");
     ASSERT_TRUE(off);
-    EXPECT_FALSE(off->experiment.has(mechanism::last_resort));
-    EXPECT_FALSE(off->experiment.has(mechanism::doubt));
-    EXPECT_TRUE(off->experiment.has(mechanism::placing));
+    EXPECT_FALSE(off->experiment.is_enabled(mechanism::fallback));
+    EXPECT_FALSE(off->experiment.is_enabled(mechanism::failure_estimation));
+    EXPECT_TRUE(off->experiment.is_enabled(mechanism::placement));
     const auto scaled = read_one("experiment", "scale = least-wait:0.5");
     ASSERT_TRUE(scaled);
     ASSERT_EQ(scaled->experiment.scaled.size(), 1U);
--- a/test/test_pages.cpp
+++ b/test/test_pages.cpp
@@ -41,9 +41,9 @@
     std::set<int> numbers;
     std::set<std::string_view> names;
     for (const auto& r : event_table) {
-        EXPECT_TRUE(numbers.insert(number_of(r.id)).second);
+        EXPECT_TRUE(numbers.insert(event_number(r.id)).second);
         EXPECT_TRUE(names.insert(r.name).second);
-        EXPECT_EQ(row_of(r.id).name, r.name);
+        EXPECT_EQ(find_event_row(r.id).name, r.name);
     }
 }
 
@@ -54,7 +54,7 @@
         log.write(event_id::request_routed, "r" + std::to_string(n), "");
     log.write(event_id::worker_ejected, "w", "evidence=1");
     EXPECT_EQ(log.find(event_family::routing, "", 100).size(), 4U);
-    EXPECT_EQ(log.overwritten(event_family::routing), 6U);
+    EXPECT_EQ(log.last_overwritten(event_family::routing), 6U);
     EXPECT_EQ(log.find(event_family::health, "w", 100).size(), 1U);
     EXPECT_EQ(log.dropped_lines(), 11U);
 }
@@ -107,10 +107,10 @@
 TEST(settings, work_at_the_stop_has_until_the_platforms_kill)
 {
     node_settings s;
-    EXPECT_EQ(stop_bound_of(s), s.stop_bound);
+    EXPECT_EQ(stop_timeout_for(s), s.stop_timeout);
     s.hosted.grace = 10 * us_per_s;
-    EXPECT_GT(stop_bound_of(s), 9 * us_per_s);
-    EXPECT_LT(stop_bound_of(s), 10 * us_per_s - 500 * us_per_ms);
+    EXPECT_GT(stop_timeout_for(s), 9 * us_per_s);
+    EXPECT_LT(stop_timeout_for(s), 10 * us_per_s - 500 * us_per_ms);
     const auto page = read_page("deploy/node.ini.template");
     EXPECT_NE(page.find("grace_s = {{Bounds.GraceS}}"), std::string::npos);
     EXPECT_EQ(page.find("stop_ms"), std::string::npos);
--- a/test/test_platform_config.cpp
+++ b/test/test_platform_config.cpp
@@ -66,9 +66,9 @@
     ASSERT_NE(deep, nullptr);
     EXPECT_EQ(deep->name, "deep");
     EXPECT_TRUE(is_idempotent(*deep, "POST"));
-    EXPECT_EQ(choose_part(*deep, 0.0), "billing");
-    EXPECT_EQ(choose_part(*deep, 0.89), "billing");
-    EXPECT_EQ(choose_part(*deep, 0.91), "orders");
+    EXPECT_EQ(choose_weighted_service(*deep, 0.0), "billing");
+    EXPECT_EQ(choose_weighted_service(*deep, 0.89), "billing");
+    EXPECT_EQ(choose_weighted_service(*deep, 0.91), "orders");
     EXPECT_EQ(find_route(*c, "b.example", "/x/y/z")->name, "other");
     EXPECT_EQ(find_route(*c, "c.example", "/x/"), nullptr);
     EXPECT_EQ(find_route(*c, "a.example", "/x"), nullptr);
@@ -114,9 +114,9 @@
                     const std::string& reason)
 {
     const auto c = parse_accepted(text);
-    EXPECT_EQ(c.notes, std::vector<std::string>{reason});
+    EXPECT_EQ(c.warnings, std::vector<std::string>{reason});
     for (const auto& r : c.routes)
-        EXPECT_EQ(r.unclear, r.name == name ? reason : "") << r.name;
+        EXPECT_EQ(r.unclear_reason, r.name == name ? reason : "") << r.name;
 }
 
 // A route with an unsupported action must not disable the rest of the document.
@@ -134,7 +134,7 @@
 TEST(operator_config, uploads_are_not_idempotent)
 {
     const auto c = parse_accepted(replaced("\"non_idempotent\"", "\"upload\""));
-    EXPECT_TRUE(c.notes.empty());
+    EXPECT_TRUE(c.warnings.empty());
     EXPECT_FALSE(is_idempotent(c.routes[0], "GET"));
     EXPECT_FALSE(is_idempotent(c.routes[0], "PUT"));
     EXPECT_EQ(c.routes[0].attempts, 2);
@@ -145,11 +145,11 @@
 TEST(operator_config, unknown_kind_gets_a_single_attempt)
 {
     const auto c = parse_accepted(replaced("\"non_idempotent\"", "\"maybe\""));
-    EXPECT_EQ(c.notes,
+    EXPECT_EQ(c.warnings,
               std::vector<std::string>{
                   "route charge: Kind 'maybe' is not known and taken for work "
                   "that must not run twice"});
-    EXPECT_TRUE(c.routes[0].unclear.empty());
+    EXPECT_TRUE(c.routes[0].unclear_reason.empty());
     EXPECT_FALSE(is_idempotent(c.routes[0], "GET"));
     EXPECT_EQ(c.routes[0].attempts, 1);
     EXPECT_EQ(c.routes[1].attempts, 3);
@@ -159,22 +159,22 @@
 {
     auto c =
         parse_accepted(replaced("\"Priority\":1", "\"Priority\":\"high\""));
-    EXPECT_EQ(c.notes, std::vector<std::string>{
-                           "route charge: Priority must be a whole number "
-                           "within its bounds"});
+    EXPECT_EQ(c.warnings, std::vector<std::string>{
+                              "route charge: Priority must be a whole number "
+                              "within its bounds"});
     EXPECT_EQ(c.routes[0].priority, route_config{}.priority);
     c = parse_accepted(
         replaced("\"TargetLatencyS\":2", "\"TargetLatencyS\":-2"));
-    EXPECT_EQ(c.notes.size(), 1U);
+    EXPECT_EQ(c.warnings.size(), 1U);
     EXPECT_EQ(c.routes[0].target_us, 8 * us_per_s);
     c = parse_accepted(
         replaced("\"MaxBodyBytes\":1048576", "\"MaxBodyBytes\":{}"));
-    EXPECT_EQ(c.notes.size(), 1U);
+    EXPECT_EQ(c.warnings.size(), 1U);
     EXPECT_EQ(c.limits.body_bytes, caller_limits{}.body_bytes);
     EXPECT_EQ(c.limits.header_bytes, 16384);
     c = parse_accepted(
         replaced("\"MaxConnections\":360", "\"MaxConnections\":0"));
-    EXPECT_EQ(c.notes.size(), 1U);
+    EXPECT_EQ(c.warnings.size(), 1U);
     EXPECT_EQ(c.services[0].max_connections, service_config{}.max_connections);
 }
 
