--- a/src/config/config_check.hpp
+++ b/src/config/config_check.hpp
@@ -1,6 +1,5 @@
-// Turns a set of files into the configuration of one site, or says what is
-// wrong with file and line. Submitting checks every site; a node builds its
-// own.
+// Builds and validates the configuration of a site from a set of files.
+// Errors name the file and line.
 #pragma once
 
 #include "config/config_type.hpp"
@@ -9,31 +8,33 @@
 
 namespace jasminetray {
 
-/// Name of the base file within a set.
 inline constexpr std::string_view base_file_name = "base.ini";
 
-/// Configuration of one site, or nothing with `last` filled in.
+/// Builds the configuration of one site.
 /// @param files base.ini and any overlays
-/// @param site overlay to apply: "SITE.ini"; a site without one has the base
-/// @param version number that the result carries
-/// @param last first thing that is wrong
+/// @param site its overlay SITE.ini is applied to the base if it exists
+/// @param version version number of the result
+/// @param error receives the first error
+/// @return nothing on error
 std::optional<fleet_config> build_config(const std::vector<config_file>& files,
                                          const std::string& site,
                                          std::uint64_t version,
-                                         config_error& last);
-
-/// Fills a configuration's indexes and checks what only the whole can show.
-/// @param wrong index of the route that is to blame
-/// @param why what is wrong with it, to follow its name
-bool index_config(fleet_config& c, std::size_t& wrong, std::string& why);
-
-/// Moves the keys of all teams into the table of keys. A key that no caller can
-/// show is left out, with a note.
-/// @param why which team is to blame, without any key
-bool index_keys(fleet_config& c, std::string& why);
-
-/// Checks the base with every overlay of a set.
-/// @return false with `last` filled in
-bool check_files(const std::vector<config_file>& files, config_error& last);
+                                         config_error& error);
+
+/// Fills the indexes of a configuration and checks references between its
+/// sections.
+/// @param failed_route receives the index of the invalid route
+/// @param reason receives the error, phrased to follow the route's name
+bool index_config(fleet_config& c, std::size_t& failed_route,
+                  std::string& reason);
+
+/// Moves the keys of all teams into the key table. Invalid keys are skipped
+/// with a warning.
+/// @param reason receives the error; names the team but never a key
+bool index_keys(fleet_config& c, std::string& reason);
+
+/// Checks the base file with each overlay of a set.
+/// @param error receives the first error
+bool check_files(const std::vector<config_file>& files, config_error& error);
 
 } // namespace jasminetray
--- a/src/config/config_document.hpp
+++ b/src/config/config_document.hpp
@@ -1,6 +1,6 @@
-// Configuration as one document in the store, written by somebody else's
-// tool: where it stands and how it becomes a configuration. The product's own
-// files come by manifests instead; see config_store.hpp.
+// Configuration stored as a single document that an external tool writes.
+// Configurations of this project's own tool use manifests instead; see
+// config_store.hpp.
 #pragma once
 
 #include "config/config_type.hpp"
@@ -12,13 +12,14 @@
 
 namespace jasminetray {
 
-/// Where documents come from. `parse` is empty when there are none.
+/// Location and parser of configuration documents; `parse` is empty if the
+/// fleet does not use documents.
 struct document_source
 {
-    row_name at; ///< row with the newest document
-    /// Turns a document into a configuration, whole or not at all.
+    row_name at; ///< row that holds the newest document
+    /// Parses a document. Returns nothing and sets `reason` on error.
     std::function<std::optional<fleet_config>(const std::string& text,
-                                              std::string& why)>
+                                              std::string& reason)>
         parse;
 };
 
--- a/src/config/config_query.cpp
+++ b/src/config/config_query.cpp
@@ -1,4 +1,4 @@
-// Questions to a configuration; see config_query.hpp.
+// Queries on a configuration.
 #include "config/config_query.hpp"
 
 #include "base/text_func.hpp"
@@ -9,11 +9,12 @@
 
 namespace {
 
-const route_config* find_under(const fleet_config& c, const std::string& host,
-                               std::string_view path)
+const route_config* find_longest_prefix(const fleet_config& c,
+                                        const std::string& host,
+                                        std::string_view path)
 {
-    // Each shorter prefix is one hash lookup, so the cost is the depth of
-    // the path and not the number of routes.
+    // One hash lookup per prefix: the cost depends on the depth of the path,
+    // not on the number of routes.
     std::string_view prefix = path;
     while (!prefix.empty()) {
         const auto it = c.route_index.find(host + "\n" + std::string(prefix));
@@ -22,7 +23,7 @@
         const auto slash = prefix.rfind('/');
         if (slash == std::string_view::npos)
             break;
-        // "/a/b" is followed by "/a/", then "/a", then "/".
+        // Tries "/a/b", "/a/", "/a" and "/" in this order.
         prefix =
             prefix.substr(0, slash + 1 < prefix.size() ? slash + 1 : slash);
     }
@@ -35,10 +36,10 @@
                                std::string_view path)
 {
     if (!host.empty()) {
-        if (const auto* r = find_under(c, std::string(host), path))
+        if (const auto* r = find_longest_prefix(c, std::string(host), path))
             return r;
     }
-    return find_under(c, "", path);
+    return find_longest_prefix(c, "", path);
 }
 
 const service_config* find_service(const fleet_config& c,
@@ -56,15 +57,16 @@
     return std::find(methods.begin(), methods.end(), method) != methods.end();
 }
 
-const std::string& choose_weighted_service(const route_config& r, double at)
+const std::string& choose_weighted_service(const route_config& r,
+                                           double fraction)
 {
     double sum = 0;
     for (const auto& p : r.weighted_services)
         sum += p.weight;
-    at *= sum;
+    double rest = fraction * sum;
     for (const auto& p : r.weighted_services) {
-        at -= p.weight;
-        if (at < 0)
+        rest -= p.weight;
+        if (rest < 0)
             return p.service;
     }
     return r.service;
--- a/src/config/config_query.hpp
+++ b/src/config/config_query.hpp
@@ -1,33 +1,31 @@
-// Questions to a configuration: which route, which service, is it safe to
-// run twice.
+// Queries on a configuration.
 #pragma once
 
 #include "config/config_type.hpp"
 
 namespace jasminetray {
 
-/// Route with the longest path prefix that fits, a named host before any
-/// host; null when none fits.
-/// @param c the configuration
+/// Returns the route with the longest matching path prefix, or null. Routes
+/// for the exact host take precedence over routes for any host.
 /// @param host host of the request, without port
 /// @param path path of the request, without query
 const route_config* find_route(const fleet_config& c, std::string_view host,
                                std::string_view path);
 
-/// Service by name; null when there is none.
+/// Returns null if there is no such service.
 const service_config* find_service(const fleet_config& c,
                                    const std::string& name);
 
-/// Whether a method of a route may run more than once.
+/// Returns whether requests with this method may run more than once.
 bool is_idempotent(const route_config& r, std::string_view method);
 
-/// Service of a route's part at a place between 0 and 1, where each part
-/// takes as much room as its weight.
-const std::string& choose_weighted_service(const route_config& r, double at);
+/// Chooses among the weighted services of a route.
+/// @param fraction in [0, 1); position in the cumulative weights
+const std::string& choose_weighted_service(const route_config& r,
+                                           double fraction);
 
-/// Slots of a service that must stay in use.
-/// @param s the service
-/// @param total slots of all its backend servers that are alive
+/// Returns the floor of a service in slots.
+/// @param total slots of all live backend servers of the service
 double floor_slots(const service_config& s, double total);
 
 } // namespace jasminetray
--- a/src/config/ini_reader.cpp
+++ b/src/config/ini_reader.cpp
@@ -1,4 +1,4 @@
-// INI reading through inih; see ini_reader.hpp.
+// INI parsing with inih.
 #include "config/ini_reader.hpp"
 
 #include "base/text_func.hpp"
@@ -10,20 +10,21 @@
 
 namespace {
 
-struct reading
+struct parse_state
 {
-    std::string_view rest; ///< text not yet handed to inih
-    int line = 0;          ///< lines handed out so far
-    int too_long = 0;      ///< first line over inih's buffer; or 0
-    ini_entry entry;       ///< handed to take, reused
-    const ini_taker* take = nullptr;
-    bool refused = false; ///< by take; the rest is passed over
+    std::string_view rest; ///< input not yet passed to inih
+    int line = 0;          ///< lines passed so far
+    int too_long = 0;      ///< first line that exceeds inih's buffer, or 0
+    ini_entry entry;       ///< reused for each entry
+    const ini_handler* handler = nullptr;
+    bool stopped = false; ///< by the handler; later entries are skipped
 };
 
-// inih asks for one line at a time, which tells us the line of each entry.
+/// Reader callback of inih. It is called once per line, which yields the line
+/// number of each entry.
 char* next_line(char* buf, int size, void* stream)
 {
-    auto& r = *static_cast<reading*>(stream);
+    auto& r = *static_cast<parse_state*>(stream);
     if (r.rest.empty())
         return nullptr;
     const auto end = r.rest.find('\n');
@@ -31,8 +32,7 @@
     r.rest.remove_prefix(end == std::string_view::npos ? r.rest.size()
                                                        : end + 1);
     ++r.line;
-    // A line that inih's buffer cannot hold would be cut without a word and
-    // the cut part read as another line.
+    // inih would silently split a line that exceeds its buffer.
     if (line.size() + 2 > static_cast<std::size_t>(size)) {
         if (r.too_long == 0)
             r.too_long = r.line;
@@ -44,18 +44,18 @@
     return buf;
 }
 
-int pass_on(void* user, const char* section, const char* name,
-            const char* value)
+int handle_entry(void* user, const char* section, const char* name,
+                 const char* value)
 {
-    auto& r = *static_cast<reading*>(user);
-    // Entries after a line that was cut may stand in the wrong section.
-    if (r.refused || r.too_long != 0)
+    auto& r = *static_cast<parse_state*>(user);
+    // Entries after a truncated line may be in the wrong section.
+    if (r.stopped || r.too_long != 0)
         return 1;
     r.entry.section = trim(section);
     r.entry.key = name;
     r.entry.value = value;
     r.entry.line = r.line;
-    r.refused = !(*r.take)(r.entry);
+    r.stopped = !(*r.handler)(r.entry);
     return 1;
 }
 
@@ -66,19 +66,19 @@
     return file + ":" + std::to_string(line) + ": " + reason;
 }
 
-bool read_ini(const config_file& file, const ini_taker& take,
-              config_error& last)
+bool read_ini(const config_file& file, const ini_handler& handler,
+              config_error& error)
 {
-    reading r;
+    parse_state r;
     r.rest = file.content;
-    r.take = &take;
-    const int failed = ini_parse_stream(next_line, &r, pass_on, &r);
-    if (r.refused)
+    r.handler = &handler;
+    const int failed = ini_parse_stream(next_line, &r, handle_entry, &r);
+    if (r.stopped)
         return false;
     if (r.too_long != 0)
-        last = {file.name, r.too_long, "line is too long"};
+        error = {file.name, r.too_long, "line is too long"};
     else if (failed != 0)
-        last = {file.name, failed, "expected [section] or key = value"};
+        error = {file.name, failed, "expected [section] or key = value"};
     return r.too_long == 0 && failed == 0;
 }
 
--- a/src/config/ini_reader.hpp
+++ b/src/config/ini_reader.hpp
@@ -1,5 +1,4 @@
-// Reads INI text with inih and keeps the line of every entry, so that each
-// later complaint can name file and line.
+// Streaming INI parser on top of inih that reports the line of each entry.
 #pragma once
 
 #include "config/config_type.hpp"
@@ -8,7 +7,6 @@
 
 namespace jasminetray {
 
-/// One "key = value" with where it stands.
 struct ini_entry
 {
     std::string section; ///< text between the brackets
@@ -17,15 +15,14 @@
     int line = 0; ///< line in the file, from 1
 };
 
-/// Takes one entry; false when it is wrong, which ends the reading.
-using ini_taker = std::function<bool(const ini_entry&)>;
+/// Handles one entry. Returns false to stop parsing.
+using ini_handler = std::function<bool(const ini_entry&)>;
 
-/// Reads a text entry by entry. A base file may have a million of them, so
-/// they are not collected.
-/// @param file the text and the name to blame
-/// @param take called in order
-/// @param last why the text is no INI; what `take` refuses it explains itself
-bool read_ini(const config_file& file, const ini_taker& take,
-              config_error& last);
+/// Parses a file and passes each entry to `handler` in order. Entries are not
+/// collected, because a base file may have a million of them.
+/// @param error receives syntax errors; `handler` reports its own errors
+/// @return false on a syntax error or if `handler` returned false
+bool read_ini(const config_file& file, const ini_handler& handler,
+              config_error& error);
 
 } // namespace jasminetray
--- a/src/config/key_type.hpp
+++ b/src/config/key_type.hpp
@@ -1,23 +1,21 @@
-// Tables of keys: what a section may say, how it is read, what it means.
-// The checks, the settings reference in docs and the error texts all come
-// from the same rows.
+// Tables of the keys that a section may have. Parsing, error messages and the
+// settings reference all use the same rows.
 #pragma once
 
 #include <string_view>
 
 namespace jasminetray {
 
-/// One key that a section may hold.
+/// One key of a section.
 template <typename Target>
 struct key_row
 {
-    std::string_view key;                   ///< name in the file
-    bool (*set)(Target&, std::string_view); ///< false for a bad value
-    std::string_view expects;               ///< for the error text
-    std::string_view meaning;               ///< for the reference page
+    std::string_view key;
+    bool (*set)(Target&, std::string_view); ///< returns false for a bad value
+    std::string_view expects; ///< accepted values, for error messages
+    std::string_view meaning; ///< description, for the reference page
 };
 
-/// What came of setting one key.
 enum class key_outcome
 {
     set,
@@ -26,11 +24,8 @@
 };
 
 /// Sets one key of a section.
-/// @param table rows of the section
-/// @param target what is filled in
-/// @param key name in the file
-/// @param value text in the file
-/// @param expects what the row expects; for the error text
+/// @param table key rows of the section
+/// @param expects receives the accepted values of the key
 template <typename Table, typename Target>
 key_outcome set_key(const Table& table, Target& target, std::string_view key,
                     std::string_view value, std::string_view& expects)
--- a/src/config/mechanism_type.hpp
+++ b/src/config/mechanism_type.hpp
@@ -1,5 +1,5 @@
-// Mechanisms that an experiment can turn off, and constants that it can
-// scale, to measure what each is worth. In production none is touched.
+// Mechanisms that experiments can disable and parameters that they can scale.
+// Production nodes use the defaults.
 #pragma once
 
 #include "base/names_type.hpp"
@@ -14,24 +14,24 @@
 
 namespace jasminetray {
 
-/// What can be turned off.
+/// Mechanism that can be disabled.
 enum class mechanism : std::uint8_t
 {
-    doubt,           ///< suspects are held back after one failure
-    quick_probe,     ///< a probe that outlives a quick failure lets others in
-    last_resort,     ///< work without room elsewhere tries a suspect
-    late_forecast,   ///< late work waits if the slots left over can serve it
-    short_first,     ///< short targets come first in the queue
-    placing,         ///< by expected loss instead of least load of two
-    probe_work,      ///< repeatable work is sent to suspects on purpose
-    refusal_memory,  ///< suspects are not asked again at once
-    load_news,       ///< loads are told within the data centre
-    retries,         ///< failed repeatable work is tried elsewhere
-    path_guard,      ///< paths that lose work are avoided
-    verdicts,        ///< ejections by sequential tests
-    survival,        ///< work that outlives a quick failure shows health
-    allowance_homes, ///< teams' allowances are counted at one node each
-    quarantine,      ///< requests that crash what runs them are refused
+    failure_estimation,  ///< withhold work from suspects after one failure
+    early_probe_success, ///< admit work once a probe outlasts a fast failure
+    fallback,            ///< try a suspect if no other server has capacity
+    late_forecast,       ///< queue late requests if spare slots can serve them
+    short_first,         ///< serve requests with short targets first
+    placement,           ///< choose by expected loss, not least load of two
+    probe_traffic,       ///< send idempotent requests to suspects as probes
+    refusal_memory,      ///< do not try a suspect again right after a refusal
+    load_updates,        ///< share load within the data centre
+    retries,             ///< retry failed idempotent requests
+    path_avoidance,      ///< avoid paths that lose requests
+    outlier_ejection,    ///< eject by sequential tests
+    early_success,       ///< count outlasting a fast failure as a success
+    allowance_owners,    ///< count each team's allowance at one owner node
+    quarantine,          ///< refuse requests that crash backend servers
 };
 
 inline constexpr std::array<std::string_view, 15> mechanism_names = {
@@ -40,38 +40,36 @@
     "load-news",   "retries",         "path-guard",  "verdicts",
     "survival",    "allowance-homes", "quarantine"};
 
-/// A set of mechanisms.
 using mechanism_set = std::bitset<mechanism_names.size()>;
 
-/// Constants that can be scaled.
+/// Parameter that can be scaled.
 enum class tunable : std::uint8_t
 {
-    refusal_memory, ///< of suspects' refusals
-    min_wait,       ///< that work may always wait
-    probe_share,    ///< of work sent to suspects on purpose
-    far_share,      ///< loss of a request that crosses data centres
-    probe_every,    ///< of a suspect
-    sick_span,      ///< mean length of a sick phase
+    refusal_memory, ///< time for which a suspect is not tried again
+    min_wait,       ///< queue time that every request is allowed
+    probe_share,    ///< share of requests sent to suspects as probes
+    far_share,      ///< cost of crossing data centres
+    probe_interval, ///< between probes of a suspect
+    unhealthy_span, ///< mean duration of an unhealthy phase
 };
 
 inline constexpr std::array<std::string_view, 6> tunable_names = {
     "refusal-memory", "least-wait",  "probe-share",
     "far-share",      "probe-every", "sick-span"};
 
-/// A constant with the factor that it is multiplied by.
 struct scaled_tunable
 {
     tunable what{};
     double factor = 1;
 };
 
-/// What an experiment changes.
+/// Changes of an experiment.
 struct experiment_settings
 {
-    mechanism_set off;                  ///< turned off
-    std::vector<scaled_tunable> scaled; ///< in the order of the file
+    mechanism_set off;
+    std::vector<scaled_tunable> scaled;
 
-    bool has(mechanism m) const
+    bool is_enabled(mechanism m) const
     {
         return !off.test(static_cast<std::size_t>(m));
     }
--- a/src/config/node_settings.cpp
+++ b/src/config/node_settings.cpp
@@ -1,4 +1,4 @@
-// Reading a node's settings; see node_settings.hpp.
+// Reads and checks node settings.
 #include "config/node_settings.hpp"
 
 #include "config/ini_reader.hpp"
@@ -12,63 +12,65 @@
 namespace {
 
 bool set_entry(node_settings& s, const std::string& file, const ini_entry& e,
-               config_error& last)
+               config_error& error)
 {
     for (const auto& x : settings_table) {
         if (x.section != e.section || x.row.key != e.key)
             continue;
         if (x.row.set(s, e.value))
             return true;
-        last = {file, e.line,
-                "bad value '" + e.value + "' for " + e.key + ": expected " +
-                    std::string(x.row.expects)};
+        error = {file, e.line,
+                 "bad value '" + e.value + "' for " + e.key + ": expected " +
+                     std::string(x.row.expects)};
         return false;
     }
-    last = {file, e.line, "unknown key '" + e.key + "' in [" + e.section + "]"};
+    error = {file, e.line,
+             "unknown key '" + e.key + "' in [" + e.section + "]"};
     return false;
 }
 
 } // namespace
 
 std::optional<node_settings> read_settings(const std::string& file,
-                                           config_error& last)
+                                           config_error& error)
 {
     std::ifstream in(file);
     if (!in) {
-        last = {file, 0, "cannot be read"};
+        error = {file, 0, "cannot be read"};
         return std::nullopt;
     }
     std::ostringstream text;
     text << in.rdbuf();
     node_settings s;
     s.file = file;
-    const auto take = [&](const ini_entry& e) {
-        return set_entry(s, file, e, last);
+    const auto handler = [&](const ini_entry& e) {
+        return set_entry(s, file, e, error);
     };
-    if (!read_ini({file, text.str()}, take, last))
+    if (!read_ini({file, text.str()}, handler, error))
         return std::nullopt;
     return s;
 }
 
 bool check_settings(const node_settings& s, const std::string& file,
-                    config_error& last)
+                    config_error& error)
 {
-    const auto need = [&](const std::string& value, const char* key) {
+    const auto require = [&](const std::string& value, const char* key) {
         if (value.empty())
-            last = {file, 0, std::string(key) + " is missing"};
+            error = {file, 0, std::string(key) + " is missing"};
         return !value.empty();
     };
-    return need(s.name, "[node] name") &&
-           need(s.centre, "[node] data_centre") && need(s.key, "[cluster] key");
+    return require(s.name, "[node] name") &&
+           require(s.centre, "[node] data_centre") &&
+           require(s.key, "[cluster] key");
 }
 
 span_us stop_timeout_for(const node_settings& s)
 {
-    // A node that is still handing out answers when the kill comes closes on
-    // their callers. The longer the grace, the slower the VMs it is meant for:
-    // 0.4 s are left of 6 s, 0.67 s of 10 s.
-    constexpr span_us kept_share = 15;
-    return s.hosted.grace > 0 ? s.hosted.grace - s.hosted.grace / kept_share
+    // Stops before the platform's kill, which would cut responses that are
+    // still being sent. A longer grace period implies slower VMs and gets a
+    // longer margin.
+    constexpr span_us margin_divisor = 15;
+    return s.hosted.grace > 0 ? s.hosted.grace - s.hosted.grace / margin_divisor
                               : s.stop_timeout;
 }
 
--- a/src/event/event_log.cpp
+++ b/src/event/event_log.cpp
@@ -1,4 +1,4 @@
-// Rings, log lines and the catalogue page; see event_log.hpp.
+// Event log and event catalogue.
 #include "event/event_log.hpp"
 
 #include "table/event_table.hpp"
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int family_size = 1000; // numbers per family
+constexpr int numbers_per_family = 1000;
 
 } // namespace
 
@@ -25,7 +25,7 @@
 
 event_family event_family_of(event_id id)
 {
-    return static_cast<event_family>(event_number(id) / family_size - 1);
+    return static_cast<event_family>(event_number(id) / numbers_per_family - 1);
 }
 
 event_log::event_log(event_limits limits, google::LogSink* sink)
@@ -72,18 +72,18 @@
                    std::string(find_event_row(id).name) + ' ' + subject +
                    " config=" + std::to_string(config_version_) + ' ' + detail);
     }
-    keep(id, wall_ms, std::move(subject), std::move(detail));
+    append(id, wall_ms, std::move(subject), std::move(detail));
 }
 
-void event_log::note(event_id id, std::string subject, std::string detail)
+void event_log::record(event_id id, std::string subject, std::string detail)
 {
     const std::lock_guard lock(mutex_);
-    keep(id, static_cast<std::int64_t>(wall_ms_now()), std::move(subject),
-         std::move(detail));
+    append(id, static_cast<std::int64_t>(wall_ms_now()), std::move(subject),
+           std::move(detail));
 }
 
-void event_log::keep(event_id id, std::int64_t wall_ms, std::string subject,
-                     std::string detail)
+void event_log::append(event_id id, std::int64_t wall_ms, std::string subject,
+                       std::string detail)
 {
     const auto n = static_cast<std::size_t>(event_family_of(id));
     const auto limit = event_family_of(id) == event_family::routing
@@ -104,23 +104,24 @@
 }
 
 std::vector<event_record> event_log::find(event_family family,
-                                          const std::string& part,
-                                          std::size_t most) const
+                                          const std::string& subject_part,
+                                          std::size_t max_records) const
 {
     const std::lock_guard lock(mutex_);
     std::vector<event_record> found;
     const auto& ring = rings_[static_cast<std::size_t>(family)];
     for (auto it = ring.rbegin(); it != ring.rend(); ++it) {
-        if (found.size() >= most)
+        if (found.size() >= max_records)
             break;
-        if (part.empty() || it->subject.find(part) != std::string::npos)
+        if (subject_part.empty() ||
+            it->subject.find(subject_part) != std::string::npos)
             found.push_back(*it);
     }
     std::reverse(found.begin(), found.end());
     return found;
 }
 
-std::uint64_t event_log::overwritten(event_family family) const
+std::uint64_t event_log::last_overwritten(event_family family) const
 {
     const std::lock_guard lock(mutex_);
     return overwritten_[static_cast<std::size_t>(family)];
--- a/src/event/event_log.hpp
+++ b/src/event/event_log.hpp
@@ -1,6 +1,6 @@
-// Where decisions are written: a bounded ring per event family for `explain`
-// and a glog line, rate-limited per event so that a flood of one event can
-// neither slow the request path nor hide the others.
+// Event log: a bounded ring per event family for `explain`, and glog lines that
+// are rate-limited per event, so that a flood of one event neither slows the
+// request path nor hides other events.
 #pragma once
 
 #include "event/event_type.hpp"
@@ -16,58 +16,54 @@
 
 namespace jasminetray {
 
-/// Sizes of an event log.
 struct event_limits
 {
-    std::size_t routing_records = 4096;   ///< ring of routing decisions
-    std::size_t other_records = 1024;     ///< ring of each other family
-    std::size_t lines_per_second = 20000; ///< log lines of one event
+    std::size_t routing_records = 4096;   ///< capacity of the routing ring
+    std::size_t other_records = 1024;     ///< capacity of each other ring
+    std::size_t lines_per_second = 20000; ///< limit per event
 };
 
-/// Rings and log lines of one process. Safe to use from several threads.
+/// Event log of a process. Thread-safe.
 class event_log
 {
 public:
-    /// @param sink takes the lines; null for glog's own destinations
+    /// @param sink receives the lines; null for glog's own destinations
     explicit event_log(event_limits limits = {},
                        google::LogSink* sink = nullptr);
 
-    /// Records a decision and writes its log line.
-    /// @param id which event
-    /// @param subject request, worker or node it is about
+    /// Records an event and writes its log line.
+    /// @param subject request, worker or node
     /// @param detail evidence, as "key=value key=value"
     void write(event_id id, std::string subject, std::string detail);
 
-    /// Records without a log line, for what is no decision.
-    void note(event_id id, std::string subject, std::string detail);
+    /// Records an event without a log line.
+    void record(event_id id, std::string subject, std::string detail);
 
-    /// Configuration version that later records carry.
     void set_config_version(std::uint64_t version);
 
-    /// Records whose subject contains `part`, oldest first.
-    /// @param family which ring
-    /// @param part text to look for; empty for all
-    /// @param most at most this many, the newest ones
-    std::vector<event_record> find(event_family family, const std::string& part,
-                                   std::size_t most) const;
+    /// Returns the newest records of a family whose subject contains
+    /// `subject_part`, oldest first.
+    std::vector<event_record> find(event_family family,
+                                   const std::string& subject_part,
+                                   std::size_t max_records) const;
 
-    /// Serial of the oldest record that a ring still has, so that an answer
-    /// can say what has been overwritten; 0 when nothing was.
-    std::uint64_t overwritten(event_family family) const;
+    /// Returns the serial of the last overwritten record of a family, or 0.
+    std::uint64_t last_overwritten(event_family family) const;
 
-    /// Log lines left out so far.
+    /// Returns how many log lines the rate limit dropped.
     std::uint64_t dropped_lines() const;
 
 private:
+    /// Log lines of one event within the current second.
     struct line_budget
     {
-        std::int64_t second = 0;   ///< the second that is counted
-        std::size_t lines = 0;     ///< lines written in it
-        std::uint64_t dropped = 0; ///< lines left out in it
+        std::int64_t second = 0;
+        std::size_t lines = 0;
+        std::uint64_t dropped = 0;
     };
 
-    void keep(event_id id, std::int64_t wall_ms, std::string subject,
-              std::string detail);
+    void append(event_id id, std::int64_t wall_ms, std::string subject,
+                std::string detail);
     bool may_write_line(event_id id, std::int64_t wall_ms);
     void write_line(const std::string& text);
 
@@ -77,13 +73,13 @@
     std::uint64_t config_version_ = 0;
     std::uint64_t serial_ = 0;
     std::uint64_t dropped_ = 0;
-    // Invariant: a ring never holds more than its limit of records.
+    // Invariant: a ring never exceeds its limit of records.
     std::array<std::deque<event_record>, event_family_count> rings_;
     std::array<std::uint64_t, event_family_count> overwritten_{};
     std::map<event_id, line_budget> budgets_;
 };
 
-/// The event catalogue as a page of markdown.
+/// Returns the event catalogue as a markdown page.
 std::string event_catalogue();
 
 } // namespace jasminetray
--- a/src/event/event_type.hpp
+++ b/src/event/event_type.hpp
@@ -1,5 +1,5 @@
-// Numbered events: every decision of the fleet has one, so that a log line,
-// a refusal's body and an answer of `explain` all name the same thing.
+// Numbered events. Log lines, bodies of refusals and `explain` identify a
+// decision by the same number.
 #pragma once
 
 #include "base/time_type.hpp"
@@ -10,7 +10,7 @@
 
 namespace jasminetray {
 
-/// Number of an event. Numbers are never reused for another meaning.
+/// Event numbers. A number is never reused for another event.
 enum class event_id : std::uint16_t
 {
     request_routed = 1001,
@@ -90,8 +90,8 @@
     settings_refused = 6005,
 };
 
-/// What an event is about; each family has a ring of its own, so that a
-/// flood of routing decisions never overwrites the last ejections.
+/// Subject area of an event. Each family has its own ring, so that a flood of
+/// routing decisions does not overwrite recent ejections.
 enum class event_family : std::uint8_t
 {
     routing,
@@ -102,35 +102,33 @@
     process,
 };
 
-constexpr std::size_t event_family_count = 6; ///< number of families
+constexpr std::size_t event_family_count = 6;
 
 /// One row of the event catalogue.
 struct event_row
 {
-    event_id id;              ///< number
-    std::string_view name;    ///< name in log lines
-    std::string_view meaning; ///< what happened
-    std::string_view action;  ///< what an operator does about it
+    event_id id;
+    std::string_view name;
+    std::string_view meaning;
+    std::string_view action; ///< recommended operator action
 };
 
-/// A decision that was taken, as `explain` returns it.
+/// A recorded event, as returned by `explain`.
 struct event_record
 {
-    std::uint64_t serial = 0;         ///< place in this process's order
-    event_id id{};                    ///< which event
-    std::int64_t wall_ms = 0;         ///< wall clock, for reading only
-    std::uint64_t config_version = 0; ///< version in force; 0 for none
+    std::uint64_t serial = 0; ///< sequence number in this process
+    event_id id{};
+    std::int64_t wall_ms = 0;         ///< wall clock; informational only
+    std::uint64_t config_version = 0; ///< in force at the time; 0 for none
     std::string subject;              ///< request, worker or node
     std::string detail;               ///< evidence as "key=value key=value"
 };
 
-/// Row of an event; every event_id has one.
 const event_row& find_event_row(event_id id);
 
-/// Family of an event, from the thousands of its number.
+/// Returns the family of an event, encoded in the thousands of its number.
 event_family event_family_of(event_id id);
 
-/// Number as a whole number.
 constexpr int event_number(event_id id)
 {
     return static_cast<int>(id);
--- a/src/event/log_writer.cpp
+++ b/src/event/log_writer.cpp
@@ -1,4 +1,4 @@
-// Log lines to a file descriptor; see log_writer.hpp.
+// Asynchronous log output.
 #include "event/log_writer.hpp"
 
 #include "event/event_log.hpp"
@@ -16,26 +16,25 @@
 
 namespace {
 
-/// Gathered before a write: one call for all lines of a moment costs less
-/// than one call a line, and is soon enough for a reader.
-constexpr std::chrono::milliseconds gather_for(20);
+/// Time to collect lines, so that one call writes many of them.
+constexpr std::chrono::milliseconds batch_delay(20);
 
-/// Waits for an output that was set not to block, as some readers do.
-void wait_for_room(int fd)
+/// Waits for a non-blocking output to become writable.
+void wait_until_writable(int fd)
 {
-    constexpr int bound_ms = 100;
+    constexpr int timeout_ms = 100;
     pollfd p{fd, POLLOUT, 0};
-    ::poll(&p, 1, bound_ms);
+    ::poll(&p, 1, timeout_ms);
 }
 
-/// @return false when the output is closed
-bool write_whole(int fd, const std::string& text)
+/// Returns false if the output is closed.
+bool write_all(int fd, const std::string& text)
 {
     std::size_t done = 0;
     while (done < text.size()) {
         const auto n = ::write(fd, text.data() + done, text.size() - done);
         if (n < 0 && errno == EAGAIN)
-            wait_for_room(fd);
+            wait_until_writable(fd);
         else if (n < 0 && errno != EINTR)
             return false;
         done += n > 0 ? static_cast<std::size_t>(n) : 0;
@@ -50,27 +49,29 @@
     std::mutex mutex;
     std::condition_variable changed;
     int fd = 1;
-    std::size_t most = 0;
-    std::string waiting;  ///< invariant: size <= most
-    bool writing = false; ///< taken out of `waiting`, not all written
+    std::size_t max_bytes = 0;
+    std::string buffer;   ///< invariant: size <= max_bytes
+    bool writing = false; ///< lines taken from `buffer` are being written
     bool stopping = false;
-    std::uint64_t left_out = 0;
-    std::uint64_t told = 0; ///< of left_out, in a line of its own
+    std::uint64_t dropped_lines = 0;
+    std::uint64_t reported = 0; ///< part of dropped_lines already logged
 
     void run();
-    std::string take();
+    std::string take_buffer();
 };
 
-/// What waits, and a line about what was left out since the last time.
-std::string log_writer::state::take()
+/// Returns the buffered lines, followed by a line with the number of lines
+/// dropped since the last call if there are any.
+std::string log_writer::state::take_buffer()
 {
     std::string text;
-    text.swap(waiting);
-    if (left_out > told) {
+    text.swap(buffer);
+    if (dropped_lines > reported) {
         text += std::to_string(event_number(event_id::log_lines_dropped)) +
                 " log_lines_dropped event=all count=" +
-                std::to_string(left_out - told) + " reason=output-blocked\n";
-        told = left_out;
+                std::to_string(dropped_lines - reported) +
+                " reason=output-blocked\n";
+        reported = dropped_lines;
     }
     return text;
 }
@@ -79,19 +80,18 @@
 {
     std::unique_lock lock(mutex);
     while (true) {
-        changed.wait(lock, [this] { return stopping || !waiting.empty(); });
+        changed.wait(lock, [this] { return stopping || !buffer.empty(); });
         if (!stopping)
-            changed.wait_for(lock, gather_for, [this] { return stopping; });
-        const auto text = take();
+            changed.wait_for(lock, batch_delay, [this] { return stopping; });
+        const auto text = take_buffer();
         if (text.empty())
-            return; // stopping, and nothing is left
+            return; // stopping, and all lines are written
         writing = true;
         lock.unlock();
-        const bool open = write_whole(fd, text);
+        const bool open = write_all(fd, text);
         lock.lock();
         writing = false;
         changed.notify_all();
-        // Nobody can read what is written to a closed output.
         if (!open)
             return;
     }
@@ -101,7 +101,7 @@
     : state_(std::make_shared<state>())
 {
     state_->fd = fd;
-    state_->most = max_bytes;
+    state_->max_bytes = max_bytes;
     std::thread([s = state_] { s->run(); }).detach();
 }
 
@@ -120,30 +120,30 @@
     auto text = ToString(severity, base_filename, line, time, message, size);
     text += '\n';
     const std::lock_guard lock(state_->mutex);
-    if (state_->waiting.size() + text.size() > state_->most) {
-        ++state_->left_out;
+    if (state_->buffer.size() + text.size() > state_->max_bytes) {
+        ++state_->dropped_lines;
         return;
     }
-    const bool first = state_->waiting.empty();
-    state_->waiting += text;
+    const bool first = state_->buffer.empty();
+    state_->buffer += text;
     if (first)
         state_->changed.notify_all();
 }
 
-void log_writer::flush(int bound_ms)
+void log_writer::flush(int timeout_ms)
 {
     auto& s = *state_;
     std::unique_lock lock(s.mutex);
     s.stopping = true;
     s.changed.notify_all();
-    s.changed.wait_for(lock, std::chrono::milliseconds(bound_ms),
-                       [&s] { return s.waiting.empty() && !s.writing; });
+    s.changed.wait_for(lock, std::chrono::milliseconds(timeout_ms),
+                       [&s] { return s.buffer.empty() && !s.writing; });
 }
 
-std::uint64_t log_writer::left_out() const
+std::uint64_t log_writer::dropped_lines() const
 {
     const std::lock_guard lock(state_->mutex);
-    return state_->left_out;
+    return state_->dropped_lines;
 }
 
 } // namespace jasminetray
--- a/src/event/log_writer.hpp
+++ b/src/event/log_writer.hpp
@@ -1,8 +1,6 @@
-// Log lines to a file descriptor, by a thread of its own. Whoever reads the
-// output may stop reading: a pipe that is full blocks its writer, and on the
-// request thread every caller would wait for the log. Here a line is put into
-// a bounded buffer or left out and counted; the thread alone may block. Lines
-// are gathered for a moment and written in one call.
+// Asynchronous log output. A full pipe blocks its writer, which must not happen
+// on the request thread. Lines go to a bounded buffer, or are dropped and
+// counted; a separate thread writes them in batches.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +9,12 @@
 
 namespace jasminetray {
 
-/// A sink of glog that never blocks its caller. Safe to use from several
-/// threads.
+/// A glog sink that never blocks its caller. Thread-safe.
 class log_writer : public google::LogSink
 {
 public:
-    /// @param fd where lines go; stays open
-    /// @param max_bytes of lines that wait
+    /// @param fd output; not closed by the destructor
+    /// @param max_bytes capacity of the buffer
     log_writer(int fd, std::size_t max_bytes);
 
     log_writer(const log_writer&) = delete;
@@ -29,15 +26,17 @@
               const google::LogMessageTime& time, const char* message,
               std::size_t size) override;
 
-    /// Waits until all lines are written, within a bound in milliseconds.
-    void flush(int bound_ms);
+    /// Stops the writer and waits until all lines are written.
+    /// @param timeout_ms maximum wait in milliseconds
+    void flush(int timeout_ms);
 
-    /// Lines left out so far because the output did not take them.
-    std::uint64_t left_out() const;
+    /// Returns the number of lines dropped because the buffer was full.
+    std::uint64_t dropped_lines() const;
 
 private:
     struct state;
-    std::shared_ptr<state> state_; ///< the thread's too, which may outlive us
+    std::shared_ptr<state>
+        state_; ///< shared with the thread, which may outlive this
 };
 
 } // namespace jasminetray
--- a/src/table/config_table.hpp
+++ b/src/table/config_table.hpp
@@ -1,5 +1,5 @@
-// Keys of the configuration's sections: [fleet], [service NAME],
-// [route NAME], [team NAME].
+// Keys of the configuration sections [fleet], [service NAME], [route NAME] and
+// [team NAME].
 #pragma once
 
 #include "base/text_func.hpp"
@@ -10,29 +10,28 @@
 
 namespace jasminetray {
 
-/// Reads a number within bounds into a member.
-inline bool set_real(double& member, std::string_view s, double least,
-                     double most)
+/// Parses a number in [min, max].
+inline bool set_real(double& member, std::string_view s, double min, double max)
 {
     const auto n = parse_double(s);
-    if (!n || *n < least || *n > most)
+    if (!n || *n < min || *n > max)
         return false;
     member = *n;
     return true;
 }
 
-/// Reads whole milliseconds within bounds into a member.
-inline bool set_ms(span_us& member, std::string_view s, std::int64_t least,
-                   std::int64_t most)
+/// Parses integer milliseconds in [min, max].
+inline bool set_ms(span_us& member, std::string_view s, std::int64_t min,
+                   std::int64_t max)
 {
     const auto n = parse_int(s);
-    if (!n || *n < least || *n > most)
+    if (!n || *n < min || *n > max)
         return false;
     member = *n * us_per_ms;
     return true;
 }
 
-/// Reads "60%" or "18 slots".
+/// Parses a floor such as "60%" or "18 slots".
 inline bool set_floor(service_config& c, std::string_view s)
 {
     const bool percent = !s.empty() && s.back() == '%';
@@ -46,7 +45,7 @@
     return set_real(c.floor_value, number, 0, percent ? 100 : 1e6);
 }
 
-/// Reads a name out of a table of names into a member.
+/// Parses the name of an enum value.
 template <typename Enum, std::size_t N>
 bool set_name(Enum& member, const std::array<std::string_view, N>& names,
               std::string_view s)
@@ -57,25 +56,24 @@
     return v.has_value();
 }
 
-/// Reads "yes" or "no".
 inline bool set_yes_no(bool& member, std::string_view s)
 {
     member = s == "yes";
     return member || s == "no";
 }
 
-/// Reads a whole number within bounds into a member.
+/// Parses an integer in [min, max].
 inline bool set_whole(std::int64_t& member, std::string_view s,
-                      std::int64_t least, std::int64_t most)
+                      std::int64_t min, std::int64_t max)
 {
     const auto n = parse_int(s);
-    if (!n || *n < least || *n > most)
+    if (!n || *n < min || *n > max)
         return false;
     member = *n;
     return true;
 }
 
-/// Reads "NAME:WEIGHT, NAME:WEIGHT" into a route's parts.
+/// Parses "NAME:WEIGHT, NAME:WEIGHT" into a route's weighted services.
 inline bool set_split(route_config& c, std::string_view s)
 {
     c.weighted_services.clear();
@@ -85,13 +83,13 @@
         const auto weight = colon == std::string::npos
                                 ? std::nullopt
                                 : parse_double(trim(text.substr(colon + 1)));
-        weighted_service part;
-        part.service = trim(std::string_view(text).substr(0, colon));
-        part.weight = weight.value_or(-1);
-        if (part.service.empty() || part.weight < 0)
+        weighted_service entry;
+        entry.service = trim(std::string_view(text).substr(0, colon));
+        entry.weight = weight.value_or(-1);
+        if (entry.service.empty() || entry.weight < 0)
             return false;
-        sum += part.weight;
-        c.weighted_services.push_back(std::move(part));
+        sum += entry.weight;
+        c.weighted_services.push_back(std::move(entry));
     }
     if (sum > 0)
         c.service = c.weighted_services.front().service;
@@ -116,30 +114,31 @@
                               return set_real(c.default_team_burst, s, 0, 1e9);
                           },
                           "requests", "burst of teams without a section"},
-    key_row<fleet_config>{"header_bytes",
-                          [](fleet_config& c, std::string_view s) {
-                              return set_whole(c.limits.header_bytes, s, 1024,
-                                               1 << 20);
-                          },
-                          "1024 to 1048576 bytes", "of a request's head"},
-    key_row<fleet_config>{"body_bytes",
-                          [](fleet_config& c, std::string_view s) {
-                              return set_whole(c.limits.body_bytes, s, 0,
-                                               1 << 30);
-                          },
-                          "0 to 1073741824 bytes", "of a request's body"},
+    key_row<fleet_config>{
+        "header_bytes",
+        [](fleet_config& c, std::string_view s) {
+            return set_whole(c.limits.header_bytes, s, 1024, 1 << 20);
+        },
+        "1024 to 1048576 bytes", "maximum size of a request's head"},
+    key_row<fleet_config>{
+        "body_bytes",
+        [](fleet_config& c, std::string_view s) {
+            return set_whole(c.limits.body_bytes, s, 0, 1 << 30);
+        },
+        "0 to 1073741824 bytes", "maximum size of a request's body"},
     key_row<fleet_config>{"header_ms",
                           [](fleet_config& c, std::string_view s) {
                               return set_ms(c.limits.header_us, s, 100, 60000);
                           },
                           "100 to 60000 milliseconds",
-                          "for a request's head to arrive"},
-    key_row<fleet_config>{"idle_ms",
-                          [](fleet_config& c, std::string_view s) {
-                              return set_ms(c.limits.idle_us, s, 1000, 600000);
-                          },
-                          "1000 to 600000 milliseconds",
-                          "of a caller's connection between two requests"},
+                          "timeout for a request's head"},
+    key_row<fleet_config>{
+        "idle_ms",
+        [](fleet_config& c, std::string_view s) {
+            return set_ms(c.limits.idle_us, s, 1000, 600000);
+        },
+        "1000 to 600000 milliseconds",
+        "idle timeout of a caller's connection between requests"},
 };
 
 inline constexpr std::array service_keys = {
@@ -149,7 +148,7 @@
             return set_name(c.kind, service_class_names, s);
         },
         "general, billing, dispatch, dossiers, plans or certificates",
-        "what the service does for the users"},
+        "kind of work, for defaults"},
     key_row<service_config>{"floor", set_floor, "N% or N slots",
                             "capacity that ejections must leave"},
     key_row<service_config>{
@@ -158,19 +157,19 @@
             return set_real(c.false_ejections_per_day, s, 1e-4, 1000);
         },
         "0.0001 to 1000",
-        "accepted false ejections; the evidence threshold follows from it"},
+        "accepted false ejections; determines the evidence threshold"},
     key_row<service_config>{"retry_share",
                             [](service_config& c, std::string_view s) {
                                 return set_real(c.retry_share, s, 0, 1);
                             },
                             "0 to 1", "retries allowed per first attempt"},
-    key_row<service_config>{"drain_ms",
-                            [](service_config& c, std::string_view s) {
-                                return set_ms(c.drain_us, s, 100, 60000);
-                            },
-                            "100 to 60000 milliseconds",
-                            "time after which a leaving backend server "
-                            "receives no new work"},
+    key_row<service_config>{
+        "drain_ms",
+        [](service_config& c, std::string_view s) {
+            return set_ms(c.drain_us, s, 100, 60000);
+        },
+        "100 to 60000 milliseconds",
+        "time after which a leaving backend server receives no new work"},
     key_row<service_config>{
         "echo",
         [](service_config& c, std::string_view s) {
@@ -178,14 +177,14 @@
             return c.echo_required || s == "optional";
         },
         "required or optional",
-        "whether answers must carry the request id they answer"},
+        "whether responses must carry the id of their request"},
     key_row<service_config>{"health_path",
                             [](service_config& c, std::string_view s) {
                                 c.health_path = s;
                                 return !s.empty() && s.front() == '/';
                             },
                             "a path that begins with /",
-                            "answers 200 while a backend server feels well"},
+                            "health check path; 200 means healthy"},
     key_row<service_config>{"most_connections",
                             [](service_config& c, std::string_view s) {
                                 std::int64_t n = 0;
@@ -194,7 +193,7 @@
                                 return good;
                             },
                             "1 to 65535",
-                            "that a backend server accepts in all"},
+                            "maximum connections to a backend server"},
 };
 
 inline constexpr std::array route_keys = {
@@ -203,7 +202,7 @@
                               c.host = s;
                               return true;
                           },
-                          "a host name", "exact host; left out for any"},
+                          "a host name", "exact host; omitted for any host"},
     key_row<route_config>{"path",
                           [](route_config& c, std::string_view s) {
                               c.path = s;
@@ -215,35 +214,37 @@
                               c.service = s;
                               return !s.empty();
                           },
-                          "the name of a service", "where requests go"},
+                          "the name of a service",
+                          "service that receives the requests"},
     key_row<route_config>{"split", set_split, "NAME:WEIGHT with commas",
-                          "several services with their shares of requests"},
+                          "weighted services that share the requests"},
     key_row<route_config>{"attempts",
                           [](route_config& c, std::string_view s) {
                               const auto n = parse_int(s);
                               c.attempts = static_cast<int>(n.value_or(0));
                               return c.attempts >= 1 && c.attempts <= 8;
                           },
-                          "1 to 8", "backend servers that a request may reach"},
+                          "1 to 8",
+                          "maximum backend servers tried per request"},
     key_row<route_config>{"target_ms",
                           [](route_config& c, std::string_view s) {
                               return set_ms(c.target_us, s, 1, 120000);
                           },
                           "1 to 120000 milliseconds",
-                          "time within which an answer is worth all"},
+                          "target response time; later responses lose value"},
     key_row<route_config>{"priority",
                           [](route_config& c, std::string_view s) {
                               const auto n = parse_int(s);
                               c.priority = static_cast<int>(n.value_or(-1));
                               return c.priority >= 0 && c.priority <= 9;
                           },
-                          "0 (first) to 9 (last)", "place in a full queue"},
+                          "0 (first) to 9 (last)", "position in a full queue"},
     key_row<route_config>{"deadline_ms",
                           [](route_config& c, std::string_view s) {
                               return set_ms(c.deadline_us, s, 10, 120000);
                           },
                           "10 to 120000 milliseconds",
-                          "time until a request gets its final answer"},
+                          "time limit for a request's final response"},
     key_row<route_config>{"idempotent",
                           [](route_config& c, std::string_view s) {
                               c.idempotent = s;
@@ -254,16 +255,15 @@
     key_row<route_config>{
         "keys",
         [](route_config& c, std::string_view s) {
-            return set_name(c.keys, idempotency_key_mode_names, s);
+            return set_name(c.idempotency_keys, idempotency_key_mode_names, s);
         },
-        "claim, home or none", "what a caller's idempotency key does"},
+        "claim, home or none", "how a caller's idempotency key is handled"},
     key_row<route_config>{"open",
                           [](route_config& c, std::string_view s) {
                               return set_yes_no(c.open, s);
                           },
                           "yes or no",
-                          "callers need no team's key, also where teams have "
-                          "keys"},
+                          "callers need no team key, even if teams have keys"},
 };
 
 inline constexpr std::array team_keys = {
@@ -272,13 +272,13 @@
                              return set_real(c.rate, s, 0, 1e9);
                          },
                          "requests a second, 0 for no limit",
-                         "the team's rate; at each entry node, or of the whole "
-                         "fleet where teams have keys"},
+                         "rate limit of the team; per entry node, or "
+                         "fleet-wide if teams have keys"},
     key_row<team_config>{"burst",
                          [](team_config& c, std::string_view s) {
                              return set_real(c.burst, s, 0, 1e9);
                          },
-                         "requests", "requests at once"},
+                         "requests", "burst size"},
     key_row<team_config>{"priority",
                          [](team_config& c, std::string_view s) {
                              const auto n = parse_int(s);
@@ -286,14 +286,14 @@
                              return *c.priority >= 0 && *c.priority <= 9;
                          },
                          "0 (first) to 9 (last)",
-                         "goes before the priority of its requests' routes"},
+                         "overrides the priority of the route"},
     key_row<team_config>{"keys",
                          [](team_config& c, std::string_view s) {
                              c.keys = split(s, ',');
                              return !c.keys.empty();
                          },
                          "keys with commas",
-                         "any of which the team's callers may show"},
+                         "keys that the team's callers may present"},
 };
 
 } // namespace jasminetray
--- a/src/table/event_table.hpp
+++ b/src/table/event_table.hpp
@@ -1,5 +1,5 @@
-// The event catalogue. docs/EVENTS.md is printed from this table by
-// `jasminetray-ctl events`, and a test compares the two.
+// Catalogue of events. `jasminetray-ctl events` generates docs/EVENTS.md from
+// this table.
 #pragma once
 
 #include "event/event_type.hpp"
@@ -11,242 +11,261 @@
 inline constexpr std::array event_table = {
     event_row{event_id::request_routed, "request_routed",
               "An entry node chose a backend server for a request.",
-              "None; the line shows the choice and its alternatives."},
+              "None; the line shows the choice and the alternatives."},
     event_row{event_id::request_retried, "request_retried",
-              "An attempt failed and another was allowed: the request is "
-              "idempotent or the attempt was proven not to have run.",
-              "None; a rising rate points at a sick service."},
+              "An attempt failed and was retried: the request is idempotent or "
+              "the attempt provably did not run.",
+              "None; a rising rate points at an unhealthy service."},
     event_row{event_id::request_hedged, "request_hedged",
-              "An idempotent request stayed silent past the usual time and "
-              "got a second attempt on a new connection.",
+              "An idempotent request exceeded the response timeout and got a "
+              "second attempt on a new connection.",
               "None; many of them on one path point at a lossy link."},
     event_row{event_id::attempt_revoked, "attempt_revoked",
-              "An entry node asked an exit node, on a new connection, "
-              "whether a silent attempt had started.",
+              "An entry node asked an exit node, on a new connection, to "
+              "revoke an attempt that exceeded the response timeout.",
               "None; the reply is in the line."},
     event_row{event_id::request_answered, "request_answered",
               "The caller received the backend server's answer.", "None."},
     event_row{event_id::refused_no_route, "refused_no_route",
               "No route of the configuration matches host and path.",
               "Compare the request with `config show`."},
-    event_row{event_id::refused_no_config, "refused_no_config",
-              "The node has no configuration yet and serves nothing.",
-              "Check 4003 and 4005 on the node; it needs a peer or the "
-              "store once."},
+    event_row{
+        event_id::refused_no_config, "refused_no_config",
+        "The node has no configuration yet and serves nothing.",
+        "Check 4003 and 4005 on the node; it needs a peer or the store once."},
     event_row{event_id::refused_no_worker, "refused_no_worker",
-              "No backend server of the service is known and usable.",
+              "No usable backend server of the service is known.",
               "`service show`; look for 3003, 3007 and 2001."},
     event_row{event_id::refused_team_limit, "refused_team_limit",
               "The team's request rate is above its limit.",
               "Raise the team's rate or ask the team."},
     event_row{event_id::refused_overload, "refused_overload",
-              "Every backend server that was asked was full.",
-              "Add backend servers; callers were told when to come back."},
+              "All backend servers that were tried are at capacity.",
+              "Add backend servers; the response tells callers when to retry."},
     event_row{event_id::refused_not_run, "refused_not_run",
               "The request was refused and provably did not run.",
-              "The reason is in the line; callers may repeat it."},
+              "The reason is in the line; callers may retry."},
     event_row{event_id::refused_unknown, "refused_unknown",
-              "The request may or may not have run; nobody can tell.",
-              "Reconcile by the request id in the service's own records."},
+              "It is unknown whether the request ran.",
+              "Reconcile by request id with the service's own records."},
     event_row{event_id::refused_bad_request, "refused_bad_request",
-              "The request could not be understood or was too large.", "None."},
+              "The request is malformed or too large.", "None."},
     event_row{event_id::refused_key_claimed, "refused_key_claimed",
               "The idempotency key was already used by another request.",
               "None; the first request's id is in the line."},
     event_row{event_id::refused_key_unproven, "refused_key_unproven",
-              "The table service could not prove that the idempotency key "
-              "is new, so the request was not run.",
+              "The table service could not confirm that the idempotency key is "
+              "new, so the request was not run.",
               "Check the table service (4003)."},
     event_row{event_id::answer_cut, "answer_cut",
-              "An answer broke off after its head had gone to the caller; "
-              "the caller's connection was closed so that it can see it.",
-              "Look at the backend server's health (2001)."},
+              "A response was truncated after its head had been forwarded; the "
+              "caller's connection was closed to signal the error.",
+              "Check the backend server's health (2001)."},
     event_row{event_id::echo_mismatch, "echo_mismatch",
-              "An answer carried another request's id and was thrown away.",
-              "The backend server crosses answers; take it out of service."},
+              "A response carried the id of another request and was discarded.",
+              "The backend server mixes up responses; take it out of service."},
     event_row{event_id::work_refused, "work_refused",
-              "An exit node's gate turned work away; it did not run.",
-              "The reason is in the line; the entry node tries elsewhere."},
+              "An exit node's gate rejected a request; it did not run.",
+              "The reason is in the line; the entry node tries another backend "
+              "server."},
     event_row{event_id::work_ended, "work_ended",
-              "Work that a backend server was given has ended.",
+              "A request that was passed to a backend server ended.",
               "None; the line has worker, end and duration."},
     event_row{event_id::refused_unclear, "refused_unclear",
-              "The configuration says of this route something that is not "
-              "understood; its requests alone are refused.",
+              "The configuration of the route has a value that this version "
+              "does not understand; only the route's requests are refused.",
               "See 4006 of the version in force."},
     event_row{event_id::refused_key, "refused_key",
-              "The request shows no key of a team, or more than one, on a "
-              "route that needs one.",
-              "`reason` tells which; compare the key's team with the "
+              "The request has no team key, or more than one, on a route that "
+              "requires one.",
+              "`reason` says which; compare the key's team with the "
               "configuration in force."},
     event_row{event_id::refused_unproven, "refused_unproven",
-              "The node cannot prove that its configuration is fresh enough "
-              "to honour keys; the request did not run.",
+              "The node cannot prove that its configuration is fresh enough to "
+              "verify team keys; the request did not run.",
               "See 4007 of the node."},
     event_row{event_id::work_waited, "work_waited",
-              "Work waited at an exit node's gate; the wait is over.",
-              "None; the line has the wait, what was left then and whether "
-              "it was started or refused."},
+              "A request left the queue of an exit node's gate.",
+              "None; the line has the wait, the time left and whether the "
+              "request was started or refused."},
     event_row{event_id::request_shortened, "request_shortened",
-              "A node that stops has less time for a request than its caller "
-              "gave it; the gates where it may wait are told.",
+              "A stopping node shortened the deadline of a request and "
+              "notified the gates where it may be queued.",
               "None; `told=0` means that the exit node could not be reached."},
-    event_row{event_id::refused_quarantined, "refused_quarantined",
-              "The request crashed several backend servers before; it was not "
-              "run.",
-              "See 2012 for its fingerprint and 3016 for the ends."},
+    event_row{
+        event_id::refused_quarantined, "refused_quarantined",
+        "The request crashed several backend servers before; it was not run.",
+        "See 2012 for its fingerprint and 3016 for the crashes."},
     event_row{
         event_id::retries_borrowed, "retries_borrowed",
-        "A node that stops asked others for retries, because its own part "
-        "of the allowance was spent.",
-        "None; with few granted the fleet's allowance is used up."},
+        "A stopping node asked other nodes for retry tokens because its own "
+        "share of the allowance was spent.",
+        "None; few granted tokens mean that the fleet's allowance is used up."},
     event_row{event_id::worker_ejected, "worker_ejected",
-              "Evidence against a backend server passed its threshold.",
+              "The evidence against a backend server exceeded its threshold.",
               "`explain ejection` shows evidence, threshold and floor."},
     event_row{event_id::worker_returned, "worker_returned",
-              "An ejected backend server answered its trickle well.", "None."},
-    event_row{event_id::ejection_held_by_floor, "ejection_held_by_floor",
-              "A backend server deserved ejection, but the service would "
-              "have fallen below its floor; it keeps a lowered weight.",
-              "Add capacity: the service is at its floor."},
+              "An ejected backend server answered its probe traffic "
+              "successfully and is back in service.",
+              "None."},
+    event_row{
+        event_id::ejection_held_by_floor, "ejection_held_by_floor",
+        "A backend server met the criteria for ejection, but the service would "
+        "have fallen below its floor; it stays in use at reduced weight.",
+        "Add capacity: the service is at its floor."},
     event_row{event_id::ejection_held_by_peers, "ejection_held_by_peers",
-              "A backend server looked sick, but its peers look the same: "
-              "the service as a whole is worse than usual.",
-              "Look for a shared cause: a release, a database."},
+              "A backend server looks unhealthy, but so do its peers: the "
+              "whole service is worse than its baseline.",
+              "Look for a shared cause, such as a release or a database."},
     event_row{event_id::path_avoided, "path_avoided",
               "This entry node stopped using its path to an exit node.",
-              "Check the network between the two; others may be fine."},
+              "Check the network between the two nodes; other paths may work."},
     event_row{event_id::path_restored, "path_restored",
-              "A path that was avoided works again.", "None."},
+              "An avoided path works again.", "None."},
     event_row{event_id::self_doubt_began, "self_doubt_began",
-              "Most paths of this node look bad: it blames itself and "
-              "changes nothing for others.",
+              "Most paths of this node fail: it assumes a local fault and "
+              "reports no other node.",
               "Check this VM and its network."},
     event_row{event_id::self_doubt_ended, "self_doubt_ended",
-              "Most paths of this node work again.", "None."},
+              "Most paths of this node work again; the local fault has ended.",
+              "None."},
     event_row{event_id::node_doubted, "node_doubted",
-              "Several entry nodes in different data centres agree that an "
-              "exit node is half-alive.",
-              "Check that VM; `explain ejection` lists the witnesses."},
+              "Entry nodes in several data centres report that an exit node is "
+              "partially failed.",
+              "Check that VM; `explain ejection` lists the reporting nodes."},
     event_row{event_id::worker_suspected, "worker_suspected",
-              "A backend server's last outcomes make it likely that it is "
-              "sick; work is held back until one succeeds or time passes.",
-              "None; it is the first step. 2001 is the verdict."},
+              "Recent results of a backend server indicate that it is probably "
+              "unhealthy; work is withheld until a request succeeds or the "
+              "suspicion expires.",
+              "None; 2001 reports an ejection."},
     event_row{event_id::worker_trusted, "worker_trusted",
-              "A suspect's outcomes speak for health again.", "None."},
-    event_row{event_id::quarantine_began, "quarantine_began",
-              "A request, named by its fingerprint, is refused by all nodes: "
-              "several processes ended while they ran it, and none has "
-              "answered it since.",
-              "Find it by its fingerprint in 3016 and 1023, and mend what it "
-              "does to the service."},
+              "Recent results of a suspected backend server indicate that it "
+              "is healthy again.",
+              "None."},
+    event_row{
+        event_id::quarantine_began, "quarantine_began",
+        "All nodes refuse a request, identified by its fingerprint: several "
+        "processes crashed while they ran it, and none has answered it since.",
+        "Find it by its fingerprint in 3016 and 1023, and fix the crash in the "
+        "service."},
     event_row{event_id::quarantine_ended, "quarantine_ended",
-              "A request that was refused is let through again.", "None."},
+              "A quarantined request is admitted again.", "None."},
     event_row{event_id::quarantine_not_stored, "quarantine_not_stored",
-              "The row of a quarantine could not be written or removed.",
-              "Check the store; the nodes that run know it all the same."},
+              "A quarantine row could not be written or removed.",
+              "Check the store; running nodes share the quarantine by gossip "
+              "as well."},
     event_row{event_id::quarantine_malformed, "quarantine_malformed",
-              "A row of the table of quarantines could not be understood.",
-              "Look who else writes to that table."},
+              "A row of the quarantine table could not be parsed.",
+              "Check which other program writes to that table."},
     event_row{event_id::node_joined, "node_joined",
-              "A node was heard of for the first time or came back.", "None."},
+              "A node joined the fleet or rejoined it.", "None."},
     event_row{event_id::node_suspected, "node_suspected",
               "A node answered neither direct nor indirect probes.",
-              "None; it becomes 3003 unless it speaks up."},
+              "None; 3003 follows unless the node answers."},
     event_row{event_id::node_dead, "node_dead",
-              "A suspected node stayed silent.",
+              "A suspected node did not answer in time and is considered dead.",
               "Replace the VM if the platform has not."},
     event_row{event_id::node_leaving, "node_leaving",
-              "A node said that it is shutting down.", "None."},
+              "A node announced that it is shutting down.", "None."},
     event_row{event_id::worker_announced, "worker_announced",
               "A backend server announced itself to its node.", "None."},
     event_row{event_id::worker_draining, "worker_draining",
-              "A backend server takes no new work.", "None."},
+              "A backend server is draining and receives no new work.",
+              "None."},
     event_row{event_id::worker_gone, "worker_gone",
-              "A backend server's announcement lapsed or it left.",
+              "A backend server left or its announcement expired.",
               "Check the process on that VM."},
     event_row{event_id::identity_clash, "identity_clash",
-              "Another process speaks under this node's name.",
+              "Another process uses this node's name.",
               "Two VMs share one settings file; give one a new name."},
     event_row{event_id::worker_probed, "worker_probed",
-              "A node asked the address of its backend server who is there.",
-              "None; not reached again and again means that it is down."},
+              "A node queried the address of its backend server for the "
+              "identity of the process there.",
+              "None; repeated failures to reach it mean that it is down."},
     event_row{event_id::contact_malformed, "contact_malformed",
-              "A row of the table of nodes could not be understood.",
-              "Look who else writes to that table."},
+              "A row of the node table could not be parsed.",
+              "Check which other program writes to that table."},
     event_row{event_id::contact_kept, "contact_kept",
-              "A node that stops could not take its row out of the store.",
+              "A stopping node could not remove its row from the store.",
               "None; its next start overwrites the row."},
     event_row{event_id::node_forgotten, "node_forgotten",
-              "A node that was dead for long was forgotten.", "None."},
-    event_row{event_id::check_in_refused, "check_in_refused",
-              "An announcement could not be understood, or does not say which "
-              "process it is of; the others hold.",
-              "Look who else announces backend servers to that node."},
+              "A dead node was removed from the membership table after its "
+              "retention time.",
+              "None."},
+    event_row{
+        event_id::check_in_refused, "check_in_refused",
+        "An announcement could not be parsed or does not identify its process; "
+        "earlier announcements stay valid.",
+        "Check which other program announces backend servers to that node."},
     event_row{event_id::worker_restarted, "worker_restarted",
-              "A backend server started again under its name; what the former "
-              "process had begun is ended as unknown.",
-              "None; many of them point at a process that crashes."},
+              "A backend server restarted under the same name; requests of the "
+              "previous incarnation ended with an unknown result.",
+              "None; frequent restarts point at a crashing process."},
     event_row{event_id::worker_start_learned, "worker_start_learned",
-              "A backend server that was found by its health answer has told "
-              "when it started; its work goes on.",
+              "A backend server that was found through its health check has "
+              "reported its start time; its requests continue.",
               "None."},
     event_row{event_id::worker_crashed, "worker_crashed",
-              "A backend server's process ended while it ran work; `running` "
-              "has the fingerprints of that work.",
-              "A fingerprint that comes at one end after the other is a "
-              "request that crashes what runs it."},
+              "A backend server's process ended while it ran requests; "
+              "`running` has their fingerprints.",
+              "A fingerprint that repeats across crashes identifies a request "
+              "that crashes backend servers."},
     event_row{event_id::config_in_force, "config_in_force",
               "A configuration version came into force on this node.", "None."},
-    event_row{event_id::config_refused, "config_refused",
-              "A configuration version could not be used.",
-              "The reason is in the line; the former one stays in force."},
+    event_row{
+        event_id::config_refused, "config_refused",
+        "A configuration version could not be used.",
+        "The reason is in the line; the previous version stays in force."},
     event_row{event_id::store_unreachable, "store_unreachable",
               "The platform's store does not answer this node.",
-              "The fleet goes on; submissions are not accepted meanwhile."},
+              "The fleet keeps serving; submissions are not accepted until the "
+              "store is back."},
     event_row{event_id::store_reachable, "store_reachable",
-              "The platform's store answers again.", "None."},
+              "The platform's store answers this node again.", "None."},
     event_row{event_id::config_fetch_failed, "config_fetch_failed",
-              "A newer version is known but its data could not be had.",
-              "None unless it lasts: peers and store are tried in turn."},
+              "A newer version is known but could not be fetched.",
+              "None unless it persists: peers and store are tried in turn."},
     event_row{event_id::config_unclear, "config_unclear",
-              "A part of a configuration in force was not understood and has "
-              "its safest meaning; the line says which.",
-              "Bring the fleet to a version that knows it."},
-    event_row{event_id::freshness_lost, "freshness_lost",
-              "For a while nobody has told this node that its configuration "
-              "is the newest; it refuses requests that need a key.",
-              "Check the node's way to the store (4003) and to its peers."},
+              "A part of the configuration in force was not understood and has "
+              "its safest meaning; the line names the part.",
+              "Upgrade the fleet to a version that supports it."},
+    event_row{
+        event_id::freshness_lost, "freshness_lost",
+        "The node has not been able to confirm for too long that its "
+        "configuration is the newest; it refuses requests that need a team "
+        "key.",
+        "Check the node's connection to the store (4003) and to its peers."},
     event_row{event_id::freshness_proven, "freshness_proven",
-              "The configuration is proven to be fresh; keyed requests are "
-              "served.",
+              "The configuration is confirmed to be fresh; requests with team "
+              "keys are served.",
               "None."},
     event_row{event_id::operator_drain, "operator_drain",
               "An operator drained a node or a backend server.", "None."},
     event_row{event_id::operator_eject, "operator_eject",
               "An operator ejected a backend server.",
-              "It ends by itself at its expiry."},
+              "None; the ejection expires by itself."},
     event_row{event_id::operator_readmit, "operator_readmit",
               "An operator readmitted a backend server.", "None."},
     event_row{event_id::operator_denied, "operator_denied",
-              "A change was asked for without a valid token.",
-              "Find out who asked."},
+              "A change was requested without a valid token.",
+              "Find out who requested it."},
     event_row{event_id::operator_release, "operator_release",
-              "An operator lets a request in quarantine through again.",
+              "An operator released a request from quarantine.",
               "None; the line has who and why."},
     event_row{event_id::process_started, "process_started",
               "A node's process started.", "None."},
     event_row{event_id::process_stopping, "process_stopping",
               "A node's process drains and stops.", "None."},
     event_row{event_id::settings_reloaded, "settings_reloaded",
-              "SIGHUP: the settings file was read again and taken up.",
-              "None; addresses stay those of the start."},
+              "The settings file was reloaded (on SIGHUP or after a change).",
+              "None; changed addresses take effect at the next start."},
     event_row{event_id::settings_refused, "settings_refused",
-              "SIGHUP: the settings file is wrong; the former settings stay.",
-              "Mend the file; the line says what is wrong."},
+              "The reloaded settings file is invalid; the previous settings "
+              "stay in use.",
+              "Fix the file; the line has the error."},
     event_row{event_id::log_lines_dropped, "log_lines_dropped",
-              "Lines of one event were left out of the log because they "
-              "came faster than the limit; the rings still have them.",
+              "Lines of one event were dropped from the log because they "
+              "exceeded the rate limit; the event rings still have them.",
               "None; the count is in the line."},
 };
 
--- a/src/table/settings_table.hpp
+++ b/src/table/settings_table.hpp
@@ -1,4 +1,4 @@
-// Keys of a node's settings file, by section.
+// Keys of the node settings file, by section.
 #pragma once
 
 #include "config/key_type.hpp"
@@ -9,52 +9,49 @@
 
 namespace jasminetray {
 
-/// One key of the settings with the section it stands in.
+/// One key of the settings file and its section.
 struct settings_row
 {
     std::string_view section;
     key_row<node_settings> row;
 };
 
-/// Reads a whole number within bounds into a member.
-inline bool set_int(int& member, std::string_view s, std::int64_t least,
-                    std::int64_t most)
+/// Parses an integer in [min, max].
+inline bool set_int(int& member, std::string_view s, std::int64_t min,
+                    std::int64_t max)
 {
     const auto n = parse_int(s);
-    if (!n || *n < least || *n > most)
+    if (!n || *n < min || *n > max)
         return false;
     member = static_cast<int>(*n);
     return true;
 }
 
-/// Reads text that must not be empty into a member.
+/// Parses text that must not be empty.
 inline bool set_text(std::string& member, std::string_view s)
 {
     member = s;
     return !s.empty();
 }
 
-/// Reads an IPv4 number into a member.
 inline bool set_ip(std::string& member, std::string_view s)
 {
     member = s;
     return is_ipv4(s);
 }
 
-/// Reads a port into a member.
 inline bool set_port(int& member, std::string_view s)
 {
     return set_int(member, s, 0, 65535);
 }
 
-/// Reads "ip:port" into a member.
 inline bool set_address(std::string& member, std::string_view s)
 {
     member = s;
     return parse_host_port(s).has_value();
 }
 
-/// Reads "ip:port" into the node's address and one of its ports.
+/// Parses "ip:port" into the node's address and one of its ports.
 inline bool set_node_address(node_settings& n, int& port, std::string_view s)
 {
     const auto at = parse_host_port(s);
@@ -65,8 +62,8 @@
     return true;
 }
 
-/// Reads the first of "FIRST,LAST" and gives the ports between nodes their
-/// numbers: gossip the first one, RPC the next.
+/// Parses "FIRST,LAST" and assigns the first port to gossip and the next one
+/// to RPC.
 inline bool set_port_range(node_settings& n, std::string_view s)
 {
     const auto ends = split(s, ',');
@@ -81,18 +78,18 @@
     return true;
 }
 
-/// Reads seconds with fractions into a member.
-inline bool set_seconds(span_us& member, std::string_view s, double most)
+/// Parses seconds in [0, max]; fractions are allowed.
+inline bool set_seconds(span_us& member, std::string_view s, double max)
 {
     const auto n = parse_double(s);
-    if (!n || *n < 0 || *n > most)
+    if (!n || *n < 0 || *n > max)
         return false;
     member = static_cast<span_us>(*n * static_cast<double>(us_per_s));
     return true;
 }
 
-/// Reads mechanisms to turn off; an empty list turns none off.
-inline bool set_off(experiment_settings& e, std::string_view s)
+/// Parses a list of mechanisms to disable; an empty list disables none.
+inline bool set_disabled_mechanisms(experiment_settings& e, std::string_view s)
 {
     e.off.reset();
     for (const auto& part : split(s, ',')) {
@@ -104,17 +101,17 @@
     return true;
 }
 
-/// Reads constants to scale, as "name:factor".
-inline bool set_scaled(experiment_settings& e, std::string_view s)
+/// Parses parameters to scale, as "NAME:FACTOR" with commas.
+inline bool set_scaled_tunables(experiment_settings& e, std::string_view s)
 {
     constexpr double max_factor = 100;
     e.scaled.clear();
-    for (const auto& part : split(s, ',')) {
-        const auto both = split(part, ':');
-        if (both.size() != 2)
+    for (const auto& item : split(s, ',')) {
+        const auto fields = split(item, ':');
+        if (fields.size() != 2)
             return false;
-        const auto what = value_of<tunable>(tunable_names, both[0]);
-        const auto factor = parse_double(both[1]);
+        const auto what = value_of<tunable>(tunable_names, fields[0]);
+        const auto factor = parse_double(fields[1]);
         if (!what || !factor || *factor <= 0 || *factor > max_factor)
             return false;
         e.scaled.push_back({*what, *factor});
@@ -128,7 +125,7 @@
                   [](node_settings& s, std::string_view v) {
                       return set_text(s.name, v);
                   },
-                  "a name", "unique in the fleet, kept over restarts"}},
+                  "a name", "unique in the fleet, stable across restarts"}},
     settings_row{"node",
                  {"data_centre",
                   [](node_settings& s, std::string_view v) {
@@ -138,58 +135,63 @@
     settings_row{
         "node",
         {"ip",
-         [](node_settings& s, std::string_view v) { return set_ip(s.ip, v); },
-         "an IPv4 number", "address that callers and nodes use"}},
+         [](node_settings& s, std::string_view v) {
+             return set_ip(s.ip, v);
+         },
+         "an IPv4 number", "address for callers and other nodes"}},
     settings_row{"node",
                  {"entry_port",
                   [](node_settings& s, std::string_view v) {
                       return set_port(s.entry_port, v);
                   },
-                  "0 to 65535, 0 for any", "callers, HTTP/1.1"}},
+                  "0 to 65535, 0 for any", "for callers, HTTP/1.1"}},
     settings_row{"node",
                  {"exit_port",
                   [](node_settings& s, std::string_view v) {
                       return set_port(s.exit_port, v);
                   },
-                  "0 to 65535, 0 for any", "other nodes' work"}},
+                  "0 to 65535, 0 for any", "for requests from other nodes"}},
     settings_row{"node",
                  {"gossip_port",
                   [](node_settings& s, std::string_view v) {
                       return set_port(s.gossip_port, v);
                   },
-                  "0 to 65535, 0 for any", "membership, UDP"}},
+                  "0 to 65535, 0 for any", "for membership gossip, UDP"}},
     settings_row{"node",
                  {"rpc_port",
                   [](node_settings& s, std::string_view v) {
                       return set_port(s.rpc_port, v);
                   },
-                  "0 to 65535, 0 for any", "questions, Cap'n Proto RPC"}},
+                  "0 to 65535, 0 for any",
+                  "for queries from other nodes, Cap'n Proto RPC"}},
     settings_row{"node",
                  {"ready_file",
                   [](node_settings& s, std::string_view v) {
                       return set_text(s.ready_file, v);
                   },
-                  "a path", "written with the real ports when it serves"}},
+                  "a path",
+                  "file that receives the bound ports once the node serves"}},
     settings_row{"admin",
                  {"ip",
                   [](node_settings& s, std::string_view v) {
                       return set_ip(s.admin_ip, v);
                   },
-                  "an IPv4 number", "where metrics and the API listen"}},
+                  "an IPv4 number", "listen address of metrics and the API"}},
     settings_row{"admin",
                  {"port",
                   [](node_settings& s, std::string_view v) {
                       return set_port(s.admin_port, v);
                   },
-                  "0 to 65535, 0 for any", "metrics, announcements, API"}},
+                  "0 to 65535, 0 for any",
+                  "for metrics, announcements and the API"}},
     settings_row{"admin",
                  {"token",
                   [](node_settings& s, std::string_view v) {
                       return set_text(s.admin_token, v);
                   },
                   "text",
-                  "changes need `Authorization: Bearer TEXT`; "
-                  "without it only loopback may change"}},
+                  "changes require `Authorization: Bearer TEXT`; if not "
+                  "set, only loopback may make changes"}},
     settings_row{"platform",
                  {"address",
                   [](node_settings& s, std::string_view v) {
@@ -202,7 +204,7 @@
                   [](node_settings& s, std::string_view v) {
                       return set_text(s.cluster, v);
                   },
-                  "a name", "datagrams of other clusters are dropped"}},
+                  "a name", "datagrams from other clusters are dropped"}},
     settings_row{"cluster",
                  {"key",
                   [](node_settings& s, std::string_view v) {
@@ -217,7 +219,7 @@
                       return v.size() >= 16;
                   },
                   "16 characters at least",
-                  "accepted too; for changing keys node by node"}},
+                  "also accepted; for rotating keys node by node"}},
     settings_row{"cluster",
                  {"seeds",
                   [](node_settings& s, std::string_view v) {
@@ -228,143 +230,152 @@
                       }
                       return true;
                   },
-                  "ip:port with commas", "gossip addresses of first contacts"}},
+                  "ip:port with commas", "gossip addresses to join through"}},
     settings_row{"limits",
                  {"stamp_ms",
                   [](node_settings& s, std::string_view v) {
                       return set_ms(s.stamp_bound, v, 100, 60000);
                   },
                   "100 to 60000 milliseconds",
-                  "age of work beyond which it is refused"}},
+                  "age above which a request is refused"}},
     settings_row{"limits",
                  {"silence_ms",
                   [](node_settings& s, std::string_view v) {
                       return set_ms(s.response_timeout, v, 5, 60000);
                   },
                   "5 to 60000 milliseconds",
-                  "without an answer, before a second attempt or a revoke"}},
+                  "response timeout, after which an attempt is hedged or "
+                  "revoked"}},
     settings_row{"limits",
                  {"quiet_ms",
                   [](node_settings& s, std::string_view v) {
                       return set_ms(s.idle_ping_after, v, 10, 60000);
                   },
                   "10 to 60000 milliseconds",
-                  "a connection quiet for longer is pinged before "
-                  "non-idempotent work"}},
+                  "idle time after which a connection is pinged before a "
+                  "non-idempotent request"}},
     settings_row{"limits",
                  {"drain_ms",
                   [](node_settings& s, std::string_view v) {
                       return set_ms(s.drain_time, v, 0, 60000);
                   },
                   "0 to 60000 milliseconds",
-                  "between saying that it leaves and closing the doors"}},
+                  "between announcing shutdown and closing the listeners"}},
     settings_row{"limits",
                  {"stop_ms",
-                  [](node_settings& s,
-                     std::string_view
-                         v) { return set_ms(s.stop_timeout, v, 100, 600000); },
+                  [](node_settings& s, std::string_view v) {
+                      return set_ms(s.stop_timeout, v, 100, 600000);
+                  },
                   "100 to 600000 milliseconds",
-                  "for work in flight when it stops"}},
+                  "for requests in flight at shutdown"}},
     settings_row{
         "limits",
         {"hold_bytes",
-         [](node_settings& s,
-            std::string_view
-                v) { return set_int(s.max_buffered, v, 1024, 16 << 20); },
-         "1024 to 16777216", "answers up to this are held whole"}},
+         [](node_settings& s, std::string_view v) {
+             return set_int(s.max_buffered, v, 1024, 16 << 20);
+         },
+         "1024 to 16777216", "responses up to this size are buffered whole"}},
     settings_row{"limits",
                  {"most_body",
-                  [](node_settings& s,
-                     std::string_view
-                         v) { return set_int(s.max_body, v, 1024, 64 << 20); },
-                  "1024 to 67108864", "bytes of a caller's request"}},
+                  [](node_settings& s, std::string_view v) {
+                      return set_int(s.max_body, v, 1024, 64 << 20);
+                  },
+                  "1024 to 67108864", "maximum size of a request body, in bytes"}},
     settings_row{
         "limits",
         {"most_attempts",
-         [](node_settings& s,
-            std::string_view v) { return set_int(s.max_attempts, v, 1, 8); },
-         "1 to 8", "attempts of one request"}},
+         [](node_settings& s, std::string_view v) {
+             return set_int(s.max_attempts, v, 1, 8);
+         },
+         "1 to 8", "maximum attempts per request"}},
     settings_row{
         "limits",
         {"most_in_flight",
-         [](node_settings& s,
-            std::string_view
-                v) { return set_int(s.max_in_flight, v, 1, 1000000); },
-         "1 to 1000000", "requests in flight at the entry side"}},
+         [](node_settings& s, std::string_view v) {
+             return set_int(s.max_in_flight, v, 1, 1000000);
+         },
+         "1 to 1000000", "maximum requests in flight at the entry side"}},
     settings_row{"limits",
                  {"service_in_flight",
                   [](node_settings& s, std::string_view v) {
                       return set_int(s.service_in_flight, v, 1, 1000000);
                   },
                   "1 to 1000000",
-                  "of one service, so that none starves another"}},
+                  "maximum requests in flight per service, so that none "
+                  "starves another"}},
     settings_row{"node",
                  {"entry",
-                  [](node_settings& s,
-                     std::string_view
-                         v) { return set_node_address(s, s.entry_port, v); },
-                  "ip:port", "ip and entry_port in one"}},
+                  [](node_settings& s, std::string_view v) {
+                      return set_node_address(s, s.entry_port, v);
+                  },
+                  "ip:port", "ip and entry_port combined"}},
     settings_row{
         "node",
         {"exit",
-         [](node_settings& s,
-            std::string_view v) { return set_node_address(s, s.exit_port, v); },
-         "ip:port", "ip and exit_port in one"}},
+         [](node_settings& s, std::string_view v) {
+             return set_node_address(s, s.exit_port, v);
+         },
+         "ip:port", "ip and exit_port combined"}},
     settings_row{"node",
                  {"port_range", set_port_range, "FIRST,LAST",
-                  "gossip_port and rpc_port out of a range"}},
+                  "gossip_port and rpc_port, assigned from a range"}},
     settings_row{
         "hosted",
         {"control",
-         [](node_settings& s,
-            std::string_view v) { return set_address(s.hosted.control, v); },
+         [](node_settings& s, std::string_view v) {
+             return set_address(s.hosted.control, v);
+         },
          "ip:port",
-         "where the VM's backend server announces itself; turns "
-         "the platform's adapter on"}},
+         "where the VM's backend server announces itself; enables the "
+         "platform adapter"}},
     settings_row{
         "hosted",
         {"ready",
-         [](node_settings& s,
-            std::string_view v) { return set_address(s.hosted.ready, v); },
-         "ip:port", "where the platform asks for readiness"}},
+         [](node_settings& s, std::string_view v) {
+             return set_address(s.hosted.ready, v);
+         },
+         "ip:port", "where the platform checks readiness"}},
     settings_row{
         "hosted",
         {"worker",
-         [](node_settings& s,
-            std::string_view v) { return set_address(s.hosted.worker, v); },
+         [](node_settings& s, std::string_view v) {
+             return set_address(s.hosted.worker, v);
+         },
          "ip:port", "the VM's backend server"}},
     settings_row{
         "hosted",
         {"service",
-         [](node_settings& s,
-            std::string_view v) { return set_text(s.hosted.service, v); },
+         [](node_settings& s, std::string_view v) {
+             return set_text(s.hosted.service, v);
+         },
          "a name", "service of the VM's backend server"}},
     settings_row{"hosted",
                  {"retry_ratio",
-                  [](node_settings& s,
-                     std::string_view
-                         v) { return set_real(s.hosted.retry_ratio, v, 0, 1); },
-                  "0 to 1", "retries per request that the fleet may send"}},
+                  [](node_settings& s, std::string_view v) {
+                      return set_real(s.hosted.retry_ratio, v, 0, 1);
+                  },
+                  "0 to 1", "fleet-wide limit of retries per request"}},
     settings_row{
         "hosted",
         {"retry_window_s",
-         [](node_settings& s,
-            std::string_view
-                v) { return set_seconds(s.hosted.retry_window, v, 3600); },
-         "seconds", "over which retries are counted"}},
+         [](node_settings& s, std::string_view v) {
+             return set_seconds(s.hosted.retry_window, v, 3600);
+         },
+         "seconds", "window over which retries are counted"}},
     settings_row{
         "hosted",
         {"retry_slack",
-         [](node_settings& s,
-            std::string_view
-                v) { return set_real(s.hosted.retry_slack, v, 0, 1e6); },
-         "retries", "beyond the ratio, of the whole fleet"}},
+         [](node_settings& s, std::string_view v) {
+             return set_real(s.hosted.retry_slack, v, 0, 1e6);
+         },
+         "retries", "allowed beyond the ratio, for the whole fleet"}},
     settings_row{"hosted",
                  {"floor_share",
-                  [](node_settings& s,
-                     std::string_view
-                         v) { return set_real(s.hosted.floor_share, v, 0, 1); },
-                  "0 to 1", "of a service's capacity that stays in use"}},
+                  [](node_settings& s, std::string_view v) {
+                      return set_real(s.hosted.floor_share, v, 0, 1);
+                  },
+                  "0 to 1",
+                  "minimum share of a service's capacity that stays in use"}},
     settings_row{"hosted",
                  {"revoke_s",
                   [](node_settings& s, std::string_view v) {
@@ -372,16 +383,16 @@
                              set_seconds(s.hosted.revocation_bound, v, 3600);
                   },
                   "seconds",
-                  "after which a key that was taken away works nowhere; keyed "
-                  "requests are refused where that cannot be proven; 0 or left "
-                  "out: not promised"}},
+                  "time within which a removed key stops working on all "
+                  "nodes; requests with keys are refused on nodes that "
+                  "cannot prove it; 0 or empty: no bound"}},
     settings_row{"hosted",
                  {"allowance_overage",
                   [](node_settings& s, std::string_view v) {
                       return v.empty() ||
                              set_real(s.hosted.allowance_overage, v, 0, 1);
                   },
-                  "0 to 1", "share by which a team's allowance may be passed"}},
+                  "0 to 1", "share by which a team may exceed its allowance"}},
     settings_row{"hosted",
                  {"allowance_slack",
                   [](node_settings& s, std::string_view v) {
@@ -389,56 +400,62 @@
                              set_real(s.hosted.allowance_slack, v, 0, 1e6);
                   },
                   "requests",
-                  "of a team that may pass beyond its allowance, of the whole "
+                  "that a team may send beyond its allowance, for the whole "
                   "fleet"}},
     settings_row{"hosted",
                  {"grace_s",
                   [](node_settings& s, std::string_view v) {
-                      // A platform that does not tell it leaves it empty.
+                      // Empty if the platform does not set a grace period.
                       return v.empty() ||
                              set_seconds(s.hosted.grace, v, 3600);
                   },
                   "seconds",
-                  "from SIGTERM to the platform's kill; work in flight ends "
-                  "shortly before; 0 or left out: stop_ms"}},
+                  "from SIGTERM to the platform's kill; requests in flight "
+                  "end shortly before; 0 or empty: stop_ms applies"}},
     settings_row{
         "log",
         {"lines_per_second",
-         [](node_settings& s,
-            std::string_view v) { return set_int(s.log_lines_per_second, v, 0, 1000000); },
-         "0 to 1000000", "of one event; the rest is counted"}},
+         [](node_settings& s, std::string_view v) {
+             return set_int(s.log_lines_per_second, v, 0, 1000000);
+         },
+         "0 to 1000000",
+         "log lines per event; further lines are dropped and counted"}},
     settings_row{"quarantine",
                  {"crashes",
                   [](node_settings& s, std::string_view v) {
                       return set_int(s.quarantine.crashes, v, 1, 100);
                   },
                   "1 to 100",
-                  "processes that end under a request, with no answer in "
-                  "between, until all nodes refuse it"}},
+                  "consecutive process crashes during a request after which "
+                  "all nodes refuse it"}},
     settings_row{"quarantine",
                  {"memory_s",
                   [](node_settings& s, std::string_view v) {
                       return set_seconds(s.quarantine.crash_ttl, v, 864000);
                   },
-                  "seconds", "for which such an end counts"}},
+                  "seconds", "time for which a crash counts"}},
     settings_row{"quarantine",
                  {"retry_after_s",
                   [](node_settings& s, std::string_view v) {
                       return set_seconds(s.quarantine.retry_after, v, 3600);
                   },
-                  "seconds", "told to callers whose request is refused so"}},
+                  "seconds",
+                  "retry delay sent to callers of a quarantined request"}},
     settings_row{"experiment",
                  {"off",
-                  [](node_settings& s,
-                     std::string_view v) { return set_off(s.experiment, v); },
+                  [](node_settings& s, std::string_view v) {
+                      return set_disabled_mechanisms(s.experiment, v);
+                  },
                   "names of mechanisms with commas",
-                  "only to measure: turned off"}},
+                  "for experiments only: disabled mechanisms"}},
     settings_row{
         "experiment",
         {"scale",
-         [](node_settings& s,
-            std::string_view v) { return set_scaled(s.experiment, v); },
-         "NAME:FACTOR with commas", "only to measure: constants multiplied"}},
+         [](node_settings& s, std::string_view v) {
+             return set_scaled_tunables(s.experiment, v);
+         },
+         "NAME:FACTOR with commas",
+         "for experiments only: parameters multiplied by a factor"}},
 };
 
 } // namespace jasminetray
--- a/test/test_config.cpp
+++ b/test/test_config.cpp
@@ -1,4 +1,4 @@
-// Configuration: errors with file and line, overlays, routes, the store.
+// Tests of configuration files, settings and submissions.
 #include "config/config_check.hpp"
 #include "config/config_query.hpp"
 #include "config/config_store.hpp"
@@ -19,11 +19,12 @@
 
 std::string error_of(const std::vector<config_file>& files)
 {
-    config_error last;
-    return check_files(files, last) ? "" : last.text();
+    config_error error;
+    return check_files(files, error) ? "" : error.text();
 }
 
-submission make(const std::string& id, const std::string& text = base)
+submission make_submission(const std::string& id,
+                           const std::string& text = base)
 {
     submission s;
     s.files = {{"base.ini", text}};
@@ -33,7 +34,7 @@
     return s;
 }
 
-TEST(config_errors, name_file_line_and_reason)
+TEST(config_errors, include_file_line_and_reason)
 {
     EXPECT_EQ(error_of({{"base.ini", base}}), "");
     EXPECT_EQ(error_of({{"base.ini", "[service a]\nfloor = much\n"}}),
@@ -58,42 +59,42 @@
               "base.ini:1: expected [section] or key = value");
 }
 
-TEST(config_errors, long_line_is_refused_and_not_cut)
+TEST(config_errors, long_line_is_rejected_not_truncated)
 {
     const std::string text = "[team " + std::string(500, 'x') + "]\nrate = 1\n";
     EXPECT_EQ(error_of({{"base.ini", text}}), "base.ini:1: line is too long");
 }
 
-TEST(config_overlay, changes_only_its_site)
+TEST(config_overlay, applies_only_to_its_site)
 {
     const std::vector<config_file> files = {
         {"base.ini", base}, {"kumamoto.ini", "[service billing]\nfloor = 80%"}};
-    config_error last;
-    const auto here = build_config(files, "kumamoto", 3, last);
-    const auto there = build_config(files, "fukuoka", 3, last);
-    ASSERT_TRUE(here && there);
-    EXPECT_EQ(here->services[0].floor_value, 80);
-    EXPECT_EQ(there->services[0].floor_value, 60);
-    EXPECT_EQ(here->version, 3U);
+    config_error error;
+    const auto kumamoto = build_config(files, "kumamoto", 3, error);
+    const auto fukuoka = build_config(files, "fukuoka", 3, error);
+    ASSERT_TRUE(kumamoto && fukuoka);
+    EXPECT_EQ(kumamoto->services[0].floor_value, 80);
+    EXPECT_EQ(fukuoka->services[0].floor_value, 60);
+    EXPECT_EQ(kumamoto->version, 3U);
 }
 
-TEST(config_route, longest_prefix_at_a_boundary_wins)
+TEST(config_route, longest_prefix_at_path_boundary_wins)
 {
     const std::string text = std::string(base) +
                              "[route orders]\npath = /billing/orders\n"
                              "service = billing\n"
                              "[route hosted]\nhost = a.example\npath = /\n"
                              "service = billing\n";
-    config_error last;
-    const auto c = build_config({{"base.ini", text}}, "", 1, last);
-    ASSERT_TRUE(c) << last.text();
+    config_error error;
+    const auto c = build_config({{"base.ini", text}}, "", 1, error);
+    ASSERT_TRUE(c) << error.text();
     EXPECT_EQ(find_route(*c, "x", "/billing/orders/5")->name, "orders");
     EXPECT_EQ(find_route(*c, "x", "/billing/other")->name, "charge");
     EXPECT_EQ(find_route(*c, "x", "/billings"), nullptr);
     EXPECT_EQ(find_route(*c, "a.example", "/any")->name, "hosted");
 }
 
-TEST(config_chunks, an_edit_changes_few_of_them)
+TEST(config_chunks, edit_changes_one_chunk)
 {
     std::string text;
     for (int n = 0; n < 20000; ++n)
@@ -113,50 +114,49 @@
     EXPECT_EQ(changed, 1U);
 }
 
-// The operator sees "accepted" although the store's answer never came. The
-// write takes effect, its answer is lost, and the history row, written in the
-// same transaction, tells whose it was.
-TEST(config_submit, lost_answer_is_settled_by_reading_back)
+// The store applies the write but its response is lost. The history row shows
+// whose write it was.
+TEST(config_submit, lost_response_is_resolved_by_history_row)
 {
     auto p = std::make_shared<fake_store>();
     p->lost_write_responses = 1;
-    const auto r = submit_config(make_fake_store(p), make("one"));
+    const auto r = submit_config(make_fake_store(p), make_submission("one"));
     EXPECT_EQ(r.outcome, submit_outcome::accepted);
     EXPECT_EQ(r.head.version, 1U);
 }
 
-// The operator sees "not accepted", and nothing is in force: the store is
-// out before the head could be moved.
+// The store becomes unavailable before the head is written.
 TEST(config_submit, store_down_means_not_accepted)
 {
     auto p = std::make_shared<fake_store>();
-    p->down_after_writes = 2; // chunk and manifest, then it is out
-    const auto r = submit_config(make_fake_store(p), make("one"));
+    p->down_after_writes = 2; // chunk and list
+    const auto r = submit_config(make_fake_store(p), make_submission("one"));
     EXPECT_EQ(r.outcome, submit_outcome::not_accepted);
     EXPECT_EQ(p->table.count("config-head"), 0U);
 }
 
-// The operator sees "unsettled" with what to ask later: the store takes the
-// write, loses the answer and goes out. Saying either way would be a guess.
-TEST(config_submit, outage_after_the_write_is_not_guessed)
+// The store applies the write, loses its response and becomes unavailable. The
+// result must be neither accepted nor not accepted.
+TEST(config_submit, outage_after_write_is_undetermined)
 {
     auto p = std::make_shared<fake_store>();
     p->lost_write_responses = 1;
     p->down_after_writes = 4; // chunk, list, manifest, head
-    const auto r = submit_config(make_fake_store(p), make("one"));
+    const auto r = submit_config(make_fake_store(p), make_submission("one"));
     EXPECT_EQ(r.outcome, submit_outcome::undetermined);
     EXPECT_NE(r.reason.find("one"), std::string::npos);
 }
 
-// The second operator is told who won and what differs: both based their
-// files on version 1, and the first moved the head to 2.
-TEST(config_submit, loser_learns_winner_and_difference)
+// Two submissions are based on version 1. The second one is refused and reports
+// the winner and the differing files.
+TEST(config_submit, lost_race_reports_winner_and_differing_files)
 {
     auto p = std::make_shared<fake_store>();
     const auto api = make_fake_store(p);
-    submit_config(api, make("zero"));
-    auto first = make("first", std::string(base) + "[team a]\nrate = 1\n");
-    auto second = make("second");
+    submit_config(api, make_submission("zero"));
+    auto first =
+        make_submission("first", std::string(base) + "[team a]\nrate = 1\n");
+    auto second = make_submission("second");
     first.expected = second.expected = 1;
     EXPECT_EQ(submit_config(api, first).outcome, submit_outcome::accepted);
     const auto r = submit_config(api, second);
@@ -165,61 +165,61 @@
     EXPECT_EQ(r.differing_files, std::vector<std::string>{"base.ini"});
 }
 
-TEST(config_submit, damaged_object_is_noticed)
+TEST(config_submit, damaged_object_is_detected)
 {
     auto p = std::make_shared<fake_store>();
     const auto api = make_fake_store(p);
-    const auto r = submit_config(api, make("one"));
+    const auto r = submit_config(api, make_submission("one"));
     for (auto& [name, content] : p->objects) {
         if (name.rfind("chunk-", 0) == 0)
             content += "x";
     }
-    std::string why;
-    store_error last{};
+    std::string reason;
+    store_error error{};
     const auto files = load_files(
         r.head.manifest,
-        [&](const std::string& name) { return api.get_object(name, last); },
-        why);
+        [&](const std::string& name) { return api.get_object(name, error); },
+        reason);
     EXPECT_FALSE(files);
-    EXPECT_NE(why.find("damaged"), std::string::npos);
+    EXPECT_NE(reason.find("damaged"), std::string::npos);
 }
 
-/// Reads settings of one section and key; nothing when they are refused.
-std::optional<node_settings> read_one(const std::string& section,
-                                      const std::string& line)
+/// Reads a settings file with a single line in a section.
+std::optional<node_settings> read_setting(const std::string& section,
+                                          const std::string& line)
 {
     const auto file = testing::TempDir() + "/one.ini";
     std::ofstream(file) << "[" << section << "]\n" << line << "\n";
-    config_error last;
-    return read_settings(file, last);
+    config_error error;
+    return read_settings(file, error);
 }
 
-TEST(settings, experiments_name_mechanisms_and_constants)
+TEST(settings, experiments_disable_mechanisms_and_scale_tunables)
 {
-    const auto off = read_one("experiment", "off = last-resort, doubt");
+    const auto off = read_setting("experiment", "off = last-resort, doubt");
     ASSERT_TRUE(off);
     EXPECT_FALSE(off->experiment.is_enabled(mechanism::fallback));
     EXPECT_FALSE(off->experiment.is_enabled(mechanism::failure_estimation));
     EXPECT_TRUE(off->experiment.is_enabled(mechanism::placement));
-    const auto scaled = read_one("experiment", "scale = least-wait:0.5");
+    const auto scaled = read_setting("experiment", "scale = least-wait:0.5");
     ASSERT_TRUE(scaled);
     ASSERT_EQ(scaled->experiment.scaled.size(), 1U);
     EXPECT_EQ(scaled->experiment.scaled[0].what, tunable::min_wait);
     EXPECT_EQ(scaled->experiment.scaled[0].factor, 0.5);
-    EXPECT_FALSE(read_one("experiment", "off = last_resort"));
-    EXPECT_FALSE(read_one("experiment", "scale = least-wait"));
-    EXPECT_FALSE(read_one("experiment", "scale = least-wait:0"));
-    EXPECT_FALSE(read_one("experiment", "scale = unknown:2"));
+    EXPECT_FALSE(read_setting("experiment", "off = last_resort"));
+    EXPECT_FALSE(read_setting("experiment", "scale = least-wait"));
+    EXPECT_FALSE(read_setting("experiment", "scale = least-wait:0"));
+    EXPECT_FALSE(read_setting("experiment", "scale = unknown:2"));
 }
 
-TEST(settings, errors_name_file_and_line)
+TEST(settings, errors_include_file_and_line)
 {
     const auto file = testing::TempDir() + "/settings.ini";
     std::ofstream(file) << "[node]\nname = a\nentry_port = 99999\n";
-    config_error last;
-    EXPECT_FALSE(read_settings(file, last));
-    EXPECT_EQ(last.text(), file + ":3: bad value '99999' for entry_port: "
-                                  "expected 0 to 65535, 0 for any");
+    config_error error;
+    EXPECT_FALSE(read_settings(file, error));
+    EXPECT_EQ(error.text(), file + ":3: bad value '99999' for entry_port: "
+                                   "expected 0 to 65535, 0 for any");
 }
 
 } // namespace
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -1,4 +1,4 @@
-// Focused failures of gate, attempts, limits, floor, paths and balance.
+// Tests of single failures in gate, attempts, limits, floor, paths and balance.
 #include "attempt/attempt_func.hpp"
 #include "balance/view_type.hpp"
 #include "gate/gate_cmd.hpp"
@@ -35,27 +35,27 @@
     return r;
 }
 
-gate_error refusal(gate& g, const gate_request& r, mono_us now)
+gate_error admission_error(gate& g, const gate_request& r, mono_us now)
 {
-    gate_error last{};
-    gate_admit(command_mode::apply, g, r, now, last);
-    return last;
+    gate_error error{};
+    gate_admit(command_mode::apply, g, r, now, error);
+    return error;
 }
 
-// The caller is told "not run" after a revoke. The bytes of the attempt turn
-// up later, out of a connection thought dead, and must not run then.
-TEST(gate, late_bytes_after_a_revoke_are_refused)
+// The entry node reports "not run" after a revoke. A request that arrives later
+// on a connection believed dead must not run.
+TEST(gate, request_after_revoke_is_refused)
 {
     auto g = make_gate(2);
     const auto r = work(1, us_per_s);
     EXPECT_EQ(gate_revoke(g, r.attempt, g.boot, us_per_s),
               revoke_reply::not_run);
-    EXPECT_EQ(refusal(g, r, us_per_s + 1), gate_error::revoked);
+    EXPECT_EQ(admission_error(g, r, us_per_s + 1), gate_error::revoked);
 }
 
-// The note of a revoke is dropped in the end. Bytes that are later still
-// carry a stamp from before the revoke, which is too old by then.
-TEST(gate, bytes_later_than_any_note_are_too_old)
+// Once the record of a revoke has expired, the stamp of a request from before
+// the revoke must be too old.
+TEST(gate, request_after_record_expiry_is_stale)
 {
     auto g = make_gate(2);
     const auto r = work(1, us_per_s);
@@ -63,92 +63,94 @@
     const auto later = us_per_s + g.limits.record_ttl() + 1;
     gate_expire_records(g, later);
     EXPECT_EQ(gate_find(g, r.attempt), nullptr);
-    EXPECT_EQ(refusal(g, r, later), gate_error::stale_stamp);
+    EXPECT_EQ(admission_error(g, r, later), gate_error::stale_stamp);
 }
 
-// A process that took over knows nothing of what the former one started: it
-// neither lets that work in nor says that it did not run.
-TEST(gate, work_for_a_former_process_is_unknown)
+// A new process does not know which requests its previous incarnation started,
+// so it must neither admit them nor report that they did not run.
+TEST(gate, request_for_previous_incarnation_is_unknown)
 {
     auto g = make_gate(2);
     auto r = work(1, us_per_s);
     r.boot = boot_id{4};
-    EXPECT_EQ(refusal(g, r, us_per_s), gate_error::wrong_boot);
+    EXPECT_EQ(admission_error(g, r, us_per_s), gate_error::wrong_boot);
     EXPECT_EQ(gate_revoke(g, r.attempt, r.boot, us_per_s),
               revoke_reply::wrong_boot);
 }
 
-// With no room to remember, new work is refused; forgetting an old attempt
-// instead would let it run a second time.
-TEST(gate, full_memory_refuses_and_never_forgets_early)
+// A full record table must refuse new requests. Evicting the record of an
+// earlier attempt would let it run twice.
+TEST(gate, full_record_table_refuses_and_never_evicts)
 {
     auto g = make_gate(100);
     g.limits.records = 3;
     for (std::uint64_t n = 1; n <= 3; ++n)
-        EXPECT_EQ(refusal(g, work(n, us_per_s), us_per_s), gate_error::none);
-    EXPECT_EQ(refusal(g, work(4, us_per_s), us_per_s),
+        EXPECT_EQ(admission_error(g, work(n, us_per_s), us_per_s),
+                  gate_error::none);
+    EXPECT_EQ(admission_error(g, work(4, us_per_s), us_per_s),
               gate_error::records_full);
-    EXPECT_EQ(refusal(g, work(1, us_per_s), us_per_s), gate_error::duplicate);
+    EXPECT_EQ(admission_error(g, work(1, us_per_s), us_per_s),
+              gate_error::duplicate);
     EXPECT_EQ(gate_revoke(g, work(5, 0).attempt, g.boot, us_per_s),
               revoke_reply::ended);
 }
 
-TEST(gate, a_check_changes_nothing)
+TEST(gate, check_mode_changes_nothing)
 {
     auto g = make_gate(1);
-    gate_error last{};
-    EXPECT_TRUE(gate_admit(command_mode::check, g, work(1, 1000), 1000, last));
+    gate_error error{};
+    EXPECT_TRUE(gate_admit(command_mode::check, g, work(1, 1000), 1000, error));
     EXPECT_EQ(gate_pending_count(g), 0U);
     EXPECT_TRUE(g.records.empty());
 }
 
-TEST(gate, urgent_work_leaves_the_queue_first)
+TEST(gate, higher_priority_leaves_queue_first)
 {
     auto g = make_gate(1);
     const auto running = work(1, 1000);
-    refusal(g, running, 1000);
-    auto patient = work(2, 1000);
+    admission_error(g, running, 1000);
+    auto normal = work(2, 1000);
     auto urgent = work(3, 1000);
     urgent.priority = 0;
-    refusal(g, patient, 1000);
-    refusal(g, urgent, 1000);
+    admission_error(g, normal, 1000);
+    admission_error(g, urgent, 1000);
     gate_finish(g, running, work_result::answered, 10, 2000);
     const auto d = gate_advance(g, w1, 2000);
     ASSERT_EQ(d.size(), 1U);
     EXPECT_EQ(d[0].attempt.request.seq, 3U);
 }
 
-// A backend server that sheds although slots are free has less room than it
-// says; its limit falls, and rises again with good answers.
-TEST(gate, sheds_lower_the_limit)
+// A backend server that sheds load below its announced slots has less capacity
+// than announced.
+TEST(gate, shed_response_lowers_limit)
 {
     auto g = make_gate(6);
     const auto r = work(1, us_per_s);
-    refusal(g, r, us_per_s);
+    admission_error(g, r, us_per_s);
     gate_finish(g, r, work_result::shed, 10, us_per_s);
     EXPECT_LT(g.workers[w1].limit, 6);
     EXPECT_GE(g.workers[w1].limit, 1);
 }
 
-// A node that restarted beside a living backend server does not know what
-// runs there; it takes the server's own count into its slots.
-TEST(gate, a_restarted_node_counts_what_runs_already)
+// A restarted node must count the requests that its backend server is already
+// running, as the server reports them.
+TEST(gate, restarted_node_counts_inherited_requests)
 {
     gate g;
     gate_set_worker(g, w1, 6, 5);
-    EXPECT_EQ(refusal(g, work(1, 0), 0), gate_error::wrong_boot);
+    EXPECT_EQ(admission_error(g, work(1, 0), 0), gate_error::wrong_boot);
     g.boot = boot_id{5};
-    EXPECT_EQ(refusal(g, work(1, 1000), 1000), gate_error::none);
-    gate_error last{};
-    EXPECT_EQ(gate_admit(command_mode::check, g, work(2, 1000), 1000, last),
+    EXPECT_EQ(admission_error(g, work(1, 1000), 1000), gate_error::none);
+    gate_error error{};
+    EXPECT_EQ(gate_admit(command_mode::check, g, work(2, 1000), 1000, error),
               admission::queued);
     gate_set_worker(g, w1, 6, 1);
     EXPECT_EQ(g.workers[w1].inherited, 0);
 }
 
-// The caller's charge stays without an answer and the exit node cannot be
-// asked. The truth is "unknown", at once and not at the deadline.
-TEST(attempt, unreachable_exit_node_is_unknown_at_once)
+// A lost attempt whose exit node cannot be reached for a revoke must end as
+// unknown at once, not at the deadline.
+TEST(attempt, unreachable_exit_node_yields_unknown_immediately)
 {
     attempt_policy p;
     auto r = make_request(p, 2 * us_per_s);
@@ -160,7 +162,7 @@
     EXPECT_EQ(r.outcome, final_outcome::unknown);
 }
 
-TEST(attempt, retries_end_with_the_budget)
+TEST(attempt, exhausted_budget_stops_retries)
 {
     attempt_policy p;
     p.idempotent = true;
@@ -175,7 +177,7 @@
     EXPECT_EQ(r.outcome, final_outcome::unknown);
 }
 
-TEST(limits, a_team_cannot_pass_its_rate)
+TEST(limits, team_cannot_exceed_its_rate)
 {
     fleet_config c;
     c.teams["a"] = {10, 5};
@@ -188,7 +190,7 @@
     EXPECT_TRUE(take_team_token(b, c, "unlimited", us_per_s));
 }
 
-TEST(limits, invented_team_names_do_not_grow_the_table)
+TEST(limits, unknown_team_names_do_not_grow_the_table)
 {
     fleet_config c;
     c.default_team_rate = 1;
@@ -199,30 +201,30 @@
     EXPECT_EQ(b.teams.size(), 10U);
 }
 
-// Five of six claim to be sick. Ejecting all would leave one; the worst two
-// go, the others stay with a lowered share, and every node decides alike.
-TEST(floor, worst_first_and_never_below)
+// Five of six backend servers are unhealthy. Only the worst two are ejected,
+// and the result does not depend on the order of the requests.
+TEST(floor, ejects_worst_first_and_keeps_floor)
 {
-    std::vector<ejection_request> claims;
+    std::vector<ejection_request> requests;
     for (int n = 0; n < 6; ++n) {
         ejection_request c;
         c.id = static_cast<worker_id>(n);
         c.slots = 1;
         c.severity = n == 0 ? 0 : 100 + n;
-        claims.push_back(c);
+        requests.push_back(c);
     }
-    const auto a = decide_ejections(claims, 3.6);
+    const auto a = decide_ejections(requests, 3.6);
     EXPECT_TRUE(a[5].ejected && a[4].ejected);
     EXPECT_TRUE(a[1].held && a[2].held && a[3].held);
     EXPECT_EQ(a[3].weight, held_weight);
-    std::reverse(claims.begin(), claims.end());
-    const auto b = decide_ejections(claims, 3.6);
+    std::reverse(requests.begin(), requests.end());
+    const auto b = decide_ejections(requests, 3.6);
     EXPECT_TRUE(b[0].ejected && b[1].ejected);
 }
 
-// All paths of one node fail: its own network is broken. It goes on using
-// all of them and complains about nobody.
-TEST(paths, a_node_with_bad_paths_doubts_itself)
+// If all paths of a node fail, the fault is local: the node must keep using
+// them and not report other nodes.
+TEST(paths, failure_of_all_paths_is_a_local_fault)
 {
     path_table t;
     const path_policy p;
@@ -234,7 +236,7 @@
     EXPECT_TRUE(path_usable(t, node_id{1}));
 }
 
-TEST(paths, one_witness_never_speaks_for_others)
+TEST(paths, exit_node_suspicion_needs_several_data_centres)
 {
     const path_policy p;
     std::vector<path_complaint> all = {{node_id{1}, 1, node_id{9}},
@@ -245,10 +247,9 @@
     EXPECT_EQ(suspected_exit_nodes(all, p).size(), 1U);
 }
 
-// An operator's change is in force everywhere but in one data centre, 2.4 s
-// long: the store turns that one away, its nodes hear of the version at once
-// and ask each other for it, and none of them has it.
-TEST(member, a_configuration_is_fetched_from_other_data_centres_too)
+// If the store is unavailable to a whole data centre, its nodes must fetch a
+// new configuration from nodes elsewhere.
+TEST(member, configuration_is_fetched_from_other_data_centres)
 {
     node_record self;
     self.id = node_id{1};
@@ -276,10 +277,9 @@
     EXPECT_GE(peers.far[1].ip, 4U);
 }
 
-// A caller's request goes to a backend server that is draining: the path to
-// its node lost work before, and a candidate with a bad path stays a last
-// choice. Only while it takes work at all.
-TEST(view, a_bad_path_makes_no_choice_of_one_that_drains)
+// A bad path keeps a candidate as the fallback, but a draining backend server
+// must not become a candidate that way.
+TEST(view, draining_worker_is_no_fallback_for_a_bad_path)
 {
     fleet_view v;
     node_record r;
@@ -298,9 +298,9 @@
     EXPECT_TRUE(x->path_bad);
 }
 
-// Others call a node dead; this one just had a whole answer from it. In a
-// one-way partition its backend servers stay in use here.
-TEST(view, a_node_that_still_answers_stays_in_use)
+// In a one-way partition, a node that other nodes report as dead stays in use
+// while it still answers this node.
+TEST(view, responding_node_stays_in_use)
 {
     fleet_view v;
     node_record r;
@@ -316,7 +316,7 @@
     EXPECT_EQ(view_candidate(v, service_of("s"), w1)->weight, 1);
 }
 
-TEST(balance, an_ejected_one_never_gets_work_that_runs_once)
+TEST(balance, ejected_worker_gets_no_non_idempotent_requests)
 {
     std::vector<candidate> all(2);
     all[0].id = worker_id{1};
--- a/test/test_pages.cpp
+++ b/test/test_pages.cpp
@@ -1,4 +1,4 @@
-// The pages that are printed from tables in the code, and the wire.
+// Tests of generated pages, the event log, settings and the wire format.
 #include "base/id_type.hpp"
 #include "config/node_settings.hpp"
 #include "event/event_log.hpp"
@@ -25,12 +25,12 @@
     return text.str();
 }
 
-TEST(pages, events_are_those_of_the_table)
+TEST(pages, events_page_matches_event_table)
 {
     EXPECT_EQ(read_page("docs/EVENTS.md"), event_catalogue());
 }
 
-TEST(pages, settings_are_those_of_the_table)
+TEST(pages, operations_page_contains_settings_table)
 {
     EXPECT_NE(read_page("docs/OPERATIONS.md").find(settings_reference()),
               std::string::npos);
@@ -47,7 +47,7 @@
     }
 }
 
-TEST(events, rings_are_bounded_and_say_what_is_gone)
+TEST(events, rings_are_bounded_and_report_overwrites)
 {
     event_log log({4, 2, 0});
     for (int n = 0; n < 10; ++n)
@@ -59,21 +59,19 @@
     EXPECT_EQ(log.dropped_lines(), 11U);
 }
 
-// Callers of a node get no answer for seconds: whoever reads its log has
-// stopped reading, the pipe is full, and the request thread stands in a
-// write. A line that cannot be taken is left out and counted, and what is
-// read later says how many.
-TEST(events, a_reader_that_stops_reading_blocks_nobody)
+// A log reader that stops reading fills the pipe, which must not block the
+// request thread. Dropped lines are counted and reported in the log.
+TEST(events, stalled_log_reader_does_not_block)
 {
     std::array<int, 2> ends{};
     ASSERT_EQ(::pipe(ends.data()), 0);
-    constexpr std::size_t room = 65536;
-    constexpr int lines = 4000; // a pipe and the room hold some 1,500
-    log_writer writer(ends[1], room);
+    constexpr std::size_t buffer_size = 65536;
+    constexpr int lines = 4000; // exceeds pipe and buffer
+    log_writer writer(ends[1], buffer_size);
     event_log log({4, 2, lines + 1}, &writer);
     for (int n = 0; n < lines; ++n)
         log.write(event_id::worker_ejected, "w", std::string(60, 'x'));
-    EXPECT_GT(writer.left_out(), 0U);
+    EXPECT_GT(writer.dropped_lines(), 0U);
     std::string text;
     std::array<char, 4096> buf{};
     while (text.find("reason=output-blocked") == std::string::npos) {
@@ -84,10 +82,9 @@
     EXPECT_NE(text.find("worker_ejected w config=0"), std::string::npos);
 }
 
-// The platform moves a VM to another service by writing its settings anew,
-// without a signal; the node goes on with the old ones. It looks at the file
-// itself, and a file that is away for a moment while it is replaced is none.
-TEST(settings, a_file_that_changes_is_noticed)
+// The platform rewrites the settings file without a signal. A file that is
+// missing while it is being replaced does not count as a change.
+TEST(settings, file_change_is_detected)
 {
     const auto path = ::testing::TempDir() + "jasminetray-watched.ini";
     std::ofstream(path) << "[node]\nname = a\n";
@@ -101,10 +98,9 @@
     std::filesystem::remove(path);
 }
 
-// Callers of long work get a closed connection when a VM is stopped: the node
-// cuts it at a time that was written down for another installation. Times that
-// the platform tells are taken from there.
-TEST(settings, work_at_the_stop_has_until_the_platforms_kill)
+// Long requests must not be cut at a fixed stop_ms if the platform grants a
+// longer grace period.
+TEST(settings, stop_timeout_follows_grace_period)
 {
     node_settings s;
     EXPECT_EQ(stop_timeout_for(s), s.stop_timeout);
@@ -116,7 +112,7 @@
     EXPECT_EQ(page.find("stop_ms"), std::string::npos);
 }
 
-TEST(identifiers, come_back_from_their_text)
+TEST(identifiers, round_trip_through_text)
 {
     rc::check([](std::uint64_t entry, std::uint64_t seq, std::uint32_t count) {
         const attempt_id a{{static_cast<node_id>(entry), seq},
@@ -140,27 +136,28 @@
     return m;
 }
 
-TEST(wire, a_message_comes_back)
+TEST(wire, message_round_trips)
 {
     const cluster_keys keys{1, {"first key of the test"}};
-    wire_error last{};
-    const auto m = decode_message(encode_message(sample(), keys), keys, last);
+    wire_error error{};
+    const auto m = decode_message(encode_message(sample(), keys), keys, error);
     ASSERT_TRUE(m);
     EXPECT_EQ(m->records[0].name, "fukuoka-1");
     EXPECT_TRUE(m->records[0].workers[0].draining);
 }
 
-// While keys are changed node by node, datagrams signed with either arrive.
-TEST(wire, two_keys_are_valid_at_once)
+// During key rotation, datagrams signed with either key must be accepted.
+TEST(wire, both_keys_are_valid_during_rotation)
 {
     const cluster_keys old_only{1, {"the old key of the test"}};
     const cluster_keys both{
         1, {"the new key of the test", "the old key of the test"}};
-    wire_error last{};
-    EXPECT_TRUE(decode_message(encode_message(sample(), old_only), both, last));
+    wire_error error{};
+    EXPECT_TRUE(
+        decode_message(encode_message(sample(), old_only), both, error));
     EXPECT_FALSE(
-        decode_message(encode_message(sample(), both), old_only, last));
-    EXPECT_EQ(last, wire_error::bad_mac);
+        decode_message(encode_message(sample(), both), old_only, error));
+    EXPECT_EQ(error, wire_error::bad_mac);
 }
 
 TEST(wire, damaged_datagrams_are_dropped)
@@ -171,23 +168,23 @@
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
         const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
         bytes[at] = static_cast<char>(bytes[at] ^ 0x40);
-        wire_error last{};
-        RC_ASSERT(!decode_message(bytes, keys, last));
+        wire_error error{};
+        RC_ASSERT(!decode_message(bytes, keys, error));
         RC_ASSERT(!decode_message(std::string_view(bytes).substr(0, cut), keys,
-                                  last));
-        RC_ASSERT(last != wire_error::none);
+                                  error));
+        RC_ASSERT(error != wire_error::none);
     });
 }
 
-// Someone who has the key sends nonsense: it is malformed, and no more.
-TEST(wire, signed_nonsense_is_not_fatal)
+// A correctly signed datagram with invalid content is rejected as malformed.
+TEST(wire, signed_invalid_message_is_rejected)
 {
     const cluster_keys keys{1, {"first key of the test"}};
     gossip_message big = sample();
     big.records[0].workers.resize(max_workers + 1);
-    wire_error last{};
-    EXPECT_FALSE(decode_message(encode_message(big, keys), keys, last));
-    EXPECT_EQ(last, wire_error::out_of_bounds);
+    wire_error error{};
+    EXPECT_FALSE(decode_message(encode_message(big, keys), keys, error));
+    EXPECT_EQ(error, wire_error::out_of_bounds);
 }
 
 } // namespace
