--- a/src/node/admin_api.hpp
+++ b/src/node/admin_api.hpp
@@ -15,7 +15,7 @@
 };
 
 /// Answer of the API.
-struct api_answer
+struct api_response
 {
     unsigned status = 200; ///< as in HTTP
     std::string json;
@@ -24,13 +24,13 @@
 /// Answers a question. `request` is {"query": NAME, ...}:
 /// status, fleet, service {name}, quarantine, teams, team {name}, whois {key},
 /// explain {family, subject, most}.
-api_answer answer_query(const node_state& n, const std::string& request);
+api_response handle_query(const node_state& n, const std::string& request);
 
 /// Carries a command out. `request` is {"command": NAME, "worker": HEX,
 /// "reason": TEXT, ...}: drain, undrain, eject {seconds, force}, readmit, and
 /// release {fingerprint}, which names no backend server.
-api_answer carry_out_command(node_state& n, const std::string& request,
-                             const api_caller& who);
+api_response handle_command(node_state& n, const std::string& request,
+                            const api_caller& who);
 
 /// Whether a request is a command.
 bool is_command(const std::string& request);
--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -29,7 +29,7 @@
     bool force = false;
 };
 
-api_answer refuse(unsigned status, const std::string& why)
+api_response refuse(unsigned status, const std::string& why)
 {
     return {status, json::serialize(json::object{{"error", why}})};
 }
@@ -84,7 +84,7 @@
 }
 
 /// Says which node guards a backend server that is not on this VM.
-api_answer point_elsewhere(const node_state& n, worker_id id)
+api_response point_elsewhere(const node_state& n, worker_id id)
 {
     for (const auto& [node, v] : n.view.nodes) {
         for (const auto& w : v.record.workers) {
@@ -117,8 +117,8 @@
     return !ec && v.is_object() && v.as_object().contains("command");
 }
 
-api_answer carry_out_command(node_state& n, const std::string& request,
-                             const api_caller& who)
+api_response handle_command(node_state& n, const std::string& request,
+                            const api_caller& who)
 {
     if (!may_command(n, who)) {
         n.events.write(event_id::operator_denied, who.name, "");
--- a/src/node/admin_quarantine.cpp
+++ b/src/node/admin_quarantine.cpp
@@ -58,8 +58,8 @@
             {"requests", requests}};
 }
 
-api_answer release_request(node_state& n, fingerprint request,
-                           const api_caller& who, const std::string& reason)
+api_response release_request(node_state& n, fingerprint request,
+                             const api_caller& who, const std::string& reason)
 {
     n.events.write(event_id::operator_release, to_text(request),
                    "by=" + who.name + " reason=" + reason);
--- a/src/node/admin_quarantine.hpp
+++ b/src/node/admin_quarantine.hpp
@@ -14,7 +14,7 @@
 /// Lets a request through again. The other nodes hear of it like of a crash.
 /// @param request its fingerprint
 /// @param reason for the audit event
-api_answer release_request(node_state& n, fingerprint request,
-                           const api_caller& who, const std::string& reason);
+api_response release_request(node_state& n, fingerprint request,
+                             const api_caller& who, const std::string& reason);
 
 } // namespace jasminetray
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -69,15 +69,15 @@
             {"name", w.name},
             {"service", w.service},
             {"slots", w.slots},
-            {"draining", w.draining || w.drained_here},
+            {"draining", w.draining || w.drained_by_operator},
             {"standing", name_of(ejection_state_names, w.health.state)},
             {"evidence", health_score(w.health, w.policy, now)},
             {"threshold", health_threshold(w.health, w.policy)},
-            {"load", gate_load(n.door, id)}});
+            {"load", gate_load(n.local_gate, id)}});
     }
     return {{"node", n.settings.name},
             {"data_centre", n.settings.centre},
-            {"boot", to_hex(static_cast<std::uint64_t>(n.door.boot))},
+            {"boot", to_hex(static_cast<std::uint64_t>(n.local_gate.boot))},
             {"stopping", n.stopping},
             {"config_version",
              n.config ? static_cast<std::int64_t>(n.config->version) : 0},
@@ -86,7 +86,7 @@
             {"members", n.view.nodes.size()},
             {"self_doubt", n.paths.local_fault},
             {"in_flight", n.in_flight},
-            {"gate_records", n.door.records.size()},
+            {"gate_records", n.local_gate.records.size()},
             {"workers", workers}};
 }
 
@@ -189,7 +189,7 @@
 
 } // namespace
 
-api_answer answer_query(const node_state& n, const std::string& request)
+api_response handle_query(const node_state& n, const std::string& request)
 {
     json::error_code ec;
     const auto v = json::parse(request, ec);
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -19,7 +19,7 @@
     return r;
 }
 
-string_response from_api(const api_answer& a)
+string_response from_api(const api_response& a)
 {
     return make(static_cast<http::status>(a.status), a.json + "\n");
 }
@@ -32,7 +32,7 @@
         alive += v.state != liveness::dead ? 1 : 0;
     m.members->Set(static_cast<double>(alive));
     m.in_flight->Set(n.in_flight);
-    m.gate_records->Set(static_cast<double>(n.door.records.size()));
+    m.gate_records->Set(static_cast<double>(n.local_gate.records.size()));
     m.store_up->Set(n.store_reachable ? 1 : 0);
     m.dropped_lines->Set(static_cast<double>(n.events.dropped_lines()));
     if (n.config) {
@@ -83,9 +83,8 @@
         return announce(n, q.body(), loopback);
     if (target == "/api" && q.method() == http::verb::post) {
         const api_caller who{loopback, bearer(q), "http"};
-        return from_api(is_command(q.body())
-                            ? carry_out_command(n, q.body(), who)
-                            : answer_query(n, q.body()));
+        return from_api(is_command(q.body()) ? handle_command(n, q.body(), who)
+                                             : handle_query(n, q.body()));
     }
     return make(http::status::not_found, "{\"error\":\"no such target\"}\n");
 }
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -35,7 +35,7 @@
         return;
     n.events.write(event_id::worker_gone, it->second.name,
                    "service=" + it->second.service + " reason=" + why);
-    deliver_gate_decisions(n, gate_remove_worker(n.door, id, mono_now()));
+    deliver_gate_decisions(n, gate_remove_worker(n.local_gate, id, mono_now()));
     n.workers.erase(it);
 }
 
@@ -162,10 +162,10 @@
     w.slots = a.slots;
     w.draining = a.draining;
     w.announced_at = mono_now();
-    gate_set_worker(n.door, id, a.slots, a.busy);
-    deliver_gate_decisions(n, gate_drain_worker(n.door, id,
-                                                w.draining || w.drained_here,
-                                                mono_now()));
+    gate_set_worker(n.local_gate, id, a.slots, a.busy);
+    deliver_gate_decisions(
+        n, gate_drain_worker(n.local_gate, id,
+                             w.draining || w.drained_by_operator, mono_now()));
     if (changed)
         publish_self(n);
     return id;
@@ -189,8 +189,8 @@
     const auto it = n.workers.find(id);
     if (it == n.workers.end())
         return;
-    it->second.drained_here = draining;
-    deliver_gate_decisions(n, gate_drain_worker(n.door, id,
+    it->second.drained_by_operator = draining;
+    deliver_gate_decisions(n, gate_drain_worker(n.local_gate, id,
                                                 draining || it->second.draining,
                                                 mono_now()));
     publish_self(n);
@@ -206,8 +206,8 @@
                             const std::vector<gate_decision>& decisions)
 {
     for (const auto& d : decisions) {
-        const auto it = n.tickets.find(d.attempt);
-        if (it == n.tickets.end())
+        const auto it = n.pending_admissions.find(d.attempt);
+        if (it == n.pending_admissions.end())
             continue;
         it->second->decision = d;
         it->second->signal.cancel();
--- a/src/node/control.cpp
+++ b/src/node/control.cpp
@@ -88,13 +88,13 @@
                    datagram_message{std::move(bytes), ip, port});
 }
 
-void control::tell_loads(std::vector<load_report> loads)
+void control::send_load_reports(std::vector<load_report> loads)
 {
     caf::anon_send(running_->members, loads_message{std::move(loads)});
 }
 
-void control::send_crashes(std::vector<node_address> to,
-                           std::vector<quarantine_message> messages)
+void control::send_quarantine_messages(std::vector<node_address> to,
+                                       std::vector<quarantine_message> messages)
 {
     caf::anon_send(running_->members,
                    crashes_message{std::move(to), std::move(messages)});
@@ -111,8 +111,8 @@
     caf::anon_send(running_->members, self_message{std::move(r)});
 }
 
-void control::send_usual(std::uint32_t ip, std::uint16_t port, baseline_query q,
-                         bool answer)
+void control::send_baseline_message(std::uint32_t ip, std::uint16_t port,
+                                    baseline_query q, bool answer)
 {
     caf::anon_send(running_->members,
                    usual_message{ip, port, std::move(q), answer});
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -18,7 +18,7 @@
 namespace jasminetray {
 
 /// One node's news for the request thread.
-struct member_news
+struct member_update
 {
     node_record record;
     liveness state = liveness::alive;
@@ -30,7 +30,7 @@
 {
     std::function<void(std::string bytes, std::uint32_t ip, std::uint16_t port)>
         send_datagram;
-    std::function<void(std::vector<member_news>)> members_changed;
+    std::function<void(std::vector<member_update>)> members_changed;
     std::function<void(std::shared_ptr<const fleet_config>)> config_ready;
     std::function<void(const freshness_proof&, const store_clock&)> proof_heard;
     std::function<void(bool reachable)> store_state;
@@ -75,18 +75,18 @@
     void update_self(node_record r);
 
     /// Sends each message to each of some nodes.
-    void send_crashes(std::vector<node_address> to,
-                      std::vector<quarantine_message> messages);
+    void send_quarantine_messages(std::vector<node_address> to,
+                                  std::vector<quarantine_message> messages);
 
     /// Tells the nodes of the own data centre how its backend servers stand.
-    void tell_loads(std::vector<load_report> loads);
+    void send_load_reports(std::vector<load_report> loads);
 
     /// The node stops: takes its row out of the store.
     void leave();
 
     /// Sends a question about a service, or an answer to one.
-    void send_usual(std::uint32_t ip, std::uint16_t port, baseline_query q,
-                    bool answer);
+    void send_baseline_message(std::uint32_t ip, std::uint16_t port,
+                               baseline_query q, bool answer);
 
 private:
     struct running;
--- a/src/node/crash_watch.cpp
+++ b/src/node/crash_watch.cpp
@@ -76,7 +76,7 @@
     it = n.workers.find(id); // may have been replaced meanwhile
     if (it == n.workers.end())
         return;
-    it->second.checking = false;
+    it->second.crash_check_pending = false;
     if (ended && !it->second.draining)
         report_crash(n, it->second, "refused");
 }
@@ -96,9 +96,9 @@
     if (w.lost.size() >= max_lost_work)
         w.lost.erase(w.lost.begin());
     w.lost.push_back({fingerprint_of(n, m), now});
-    if (!closed || w.checking)
+    if (!closed || w.crash_check_pending)
         return;
-    w.checking = true;
+    w.crash_check_pending = true;
     asio::spawn(
         n.ctx, [&n, id](const yield& y) { check_process(n, id, y); },
         asio::detached);
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -103,7 +103,7 @@
 {
     auto& n = r.n;
     if (!new_connection) {
-        auto connection = take_idle_connection(n.exits[t.exit],
+        auto connection = take_idle_connection(n.exit_connections[t.exit],
                                                mono_now() - exit_idle_timeout);
         // A middlebox may have dropped an idle connection; a ping finds out
         // without risking non-idempotent work.
@@ -235,7 +235,7 @@
     const bool complete = t.parser && t.parser->is_done() && !t.cancelled;
     if (complete && result.reason != "echo-mismatch" &&
         is_reusable(*t.connection, t.parser->keep_alive())) {
-        return_connection(r.n.exits[t.exit], std::move(t.connection),
+        return_connection(r.n.exit_connections[t.exit], std::move(t.connection),
                           max_idle_exit_connections, mono_now());
     } else if (complete || t.cancelled) {
         t.connection.reset();
@@ -363,9 +363,9 @@
     std::uint32_t reached = 0;
     for (const auto& t : m.attempt_states)
         reached += t.reached ? 1 : 0;
-    const auto it = r.n.budgets.find(r.service->name);
+    const auto it = r.n.retry_budgets.find(r.service->name);
     const bool within_budget =
-        it != r.n.budgets.end() && may_retry(it->second, mono_now());
+        it != r.n.retry_budgets.end() && may_retry(it->second, mono_now());
     return m.policy.idempotent && reached < m.policy.max_attempts &&
            within_budget;
 }
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -52,8 +52,8 @@
                        std::to_string(static_cast<unsigned>(x.status)) +
                        " retry_after_us=" + std::to_string(x.retry_after) +
                        (x.team.empty() ? "" : " team=" + x.team));
-    count(*n.metrics.requests, "outcome",
-          std::string(name_of(final_outcome_names, x.outcome)));
+    increment_counter(*n.metrics.requests, "outcome",
+                      std::string(name_of(final_outcome_names, x.outcome)));
     return send(c, make_refusal(id, x, n.dialect.explain), y);
 }
 
@@ -75,7 +75,7 @@
 {
     if (r.weighted_services.empty())
         return r.service;
-    const auto [it, inserted] = n.split_places.try_emplace(r.name, 0.0);
+    const auto [it, inserted] = n.split_positions.try_emplace(r.name, 0.0);
     if (inserted)
         it->second = random_unit(n.rng);
     it->second = std::fmod(it->second + golden_ratio_step, 1.0);
@@ -169,7 +169,7 @@
         answer.set(caller_field::outcome, "answered");
         answer.set(caller_field::request, to_text(r.id));
     }
-    count(*n.metrics.requests, "outcome", "answered");
+    increment_counter(*n.metrics.requests, "outcome", "answered");
     n.events.record(event_id::request_answered, r.label,
                     "status=" + std::to_string(answer.result_int()) +
                         " attempts=" + std::to_string(r.attempts.size()) +
@@ -236,7 +236,7 @@
 std::uint32_t run_state_machine(const std::shared_ptr<entry_request>& r,
                                 const yield& y)
 {
-    auto& budget = r->n.budgets[r->service->name];
+    auto& budget = r->n.retry_budgets[r->service->name];
     const auto& h = r->n.settings.hosted;
     const auto now = mono_now();
     if (r->n.balance.estimate.on) {
@@ -356,14 +356,14 @@
     ++n.in_flight;
     ++in_flight_of_service;
     watch_caller(r, c);
-    n.open_runs.insert(r.get());
+    n.open_requests.insert(r.get());
     const auto delivered = run_state_machine(r, y);
-    n.open_runs.erase(r.get());
+    n.open_requests.erase(r.get());
     unwatch_caller(*r, c);
     n.metrics.duration->Observe(
         static_cast<double>(mono_now() - r->received_at) / us_per_s);
     if (is_failure(*r, delivered))
-        n.call_failed_at = mono_now();
+        n.last_failure_reported_at = mono_now();
     bool keep = false;
     if (delivered != 0)
         keep = deliver_answer(*r, delivered, c, y);
--- a/src/node/entry_stop.cpp
+++ b/src/node/entry_stop.cpp
@@ -110,7 +110,7 @@
 /// Makes all open requests check their retry budget again.
 void wake_requests(node_state& n)
 {
-    for (auto* r : n.open_runs)
+    for (auto* r : n.open_requests)
         r->queue_event({attempt_event_kind::timer, 0, ""});
 }
 
@@ -135,7 +135,7 @@
     n.events.write(event_id::retries_borrowed, service,
                    "wanted=" + std::to_string(wanted) +
                        " granted=" + std::to_string(granted));
-    n.budgets[service].granted += granted;
+    n.retry_budgets[service].granted += granted;
     wake_requests(n);
 }
 
@@ -144,16 +144,16 @@
 std::map<std::string, int> missing_retries(const node_state& n, mono_us now)
 {
     std::map<std::string, int> missing;
-    for (const auto* r : n.open_runs) {
+    for (const auto* r : n.open_requests) {
         const auto& m = r->machine;
         if (m.policy.idempotent && m.attempt_states.size() == 1 &&
             m.overdue_at <= now)
             ++missing[r->service->name];
     }
     for (auto& [service, count] : missing) {
-        const auto it = n.budgets.find(service);
+        const auto it = n.retry_budgets.find(service);
         const int left =
-            it == n.budgets.end() ? 0 : retries_left(it->second, now);
+            it == n.retry_budgets.end() ? 0 : retries_left(it->second, now);
         count = std::min(count - left, max_loan);
     }
     return missing;
@@ -194,9 +194,9 @@
     if (!loan)
         return false;
     int granted = 0;
-    const auto place = n.service_places.find(loan->service);
-    if (n.config && place != n.service_places.end() && !n.stopping) {
-        auto& budget = n.budgets[n.config->services[place->second].name];
+    const auto place = n.service_positions.find(loan->service);
+    if (n.config && place != n.service_positions.end() && !n.stopping) {
+        auto& budget = n.retry_budgets[n.config->services[place->second].name];
         while (granted < std::min(loan->count, max_loan) &&
                take_retry(budget, mono_now()))
             ++granted;
@@ -209,7 +209,7 @@
 {
     const auto now = mono_now();
     std::map<node_id, exit_attempts> by_exit;
-    for (auto* r : n.open_runs) {
+    for (auto* r : n.open_requests) {
         group_attempts(*r, by_exit);
         attempt_shorten_deadline(r->machine, n.last_answer_at,
                                  expected_request_time(*r), now);
--- a/src/node/entry_team.cpp
+++ b/src/node/entry_team.cpp
@@ -55,7 +55,7 @@
 std::optional<refusal> accept_named_team(node_state& n, entry_request& r)
 {
     const auto team = header_value(r.message, to_beast_view(n.dialect.team));
-    if (take_team_token(n.teams, *r.config, team, mono_now()))
+    if (take_team_token(n.local_allowances, *r.config, team, mono_now()))
         return std::nullopt;
     return refuse(http::status::too_many_requests, event_id::refused_team_limit,
                   "team-limit", us_per_s);
@@ -85,7 +85,7 @@
         [&a] { return to_text(a); }, deadline, y);
     const auto answer = text ? parse_allowance_answer(*text) : std::nullopt;
     if (!answer)
-        n.silent_homes[id] = mono_now();
+        n.unresponsive_owners[id] = mono_now();
     return answer;
 }
 
@@ -97,8 +97,9 @@
     const auto owners = team_owners(n, a.team, max_owners_asked);
     for (const auto id : owners) {
         if (id == n.self.id)
-            return take_allowance(n.allowances, a.team, a.limit, a.max_wait,
-                                  make_allowance_policy(n), mono_now());
+            return take_allowance(n.owned_allowances, a.team, a.limit,
+                                  a.max_wait, make_allowance_policy(n),
+                                  mono_now());
         if (const auto answer = request_grant_from(n, id, a, y))
             return answer;
     }
@@ -146,9 +147,9 @@
     std::vector<std::pair<std::uint64_t, node_id>> ranks;
     ranks.reserve(n.view.nodes.size());
     for (const auto& [id, v] : n.view.nodes) {
-        const auto unresponsive = n.silent_homes.find(id);
+        const auto unresponsive = n.unresponsive_owners.find(id);
         const bool eligible =
-            unresponsive == n.silent_homes.end() ||
+            unresponsive == n.unresponsive_owners.end() ||
             mono_now() - unresponsive->second > unresponsive_time;
         if (v.state == liveness::alive && !v.record.leaving && eligible)
             ranks.emplace_back(mix_hash(team, static_cast<std::uint64_t>(id)),
@@ -181,9 +182,9 @@
 void log_freshness_change(node_state& n)
 {
     const bool proven = can_verify_keys(n);
-    if (proven == n.proven)
+    if (proven == n.config_proven)
         return;
-    n.proven = proven;
+    n.config_proven = proven;
     const auto age = config_age_bound(n.fresh, uptime_now());
     n.events.write(
         proven ? event_id::freshness_proven : event_id::freshness_lost,
@@ -243,8 +244,9 @@
             : std::nullopt;
     const bool no_owner = !answer;
     if (no_owner)
-        answer = take_fallback_allowance(n.own_parts, r.team_hash, r.limit,
-                                         make_allowance_policy(n), mono_now());
+        answer =
+            take_fallback_allowance(n.fallback_allowances, r.team_hash, r.limit,
+                                    make_allowance_policy(n), mono_now());
     if (answer->granted) {
         wait_for(n, answer->wait, y);
         return std::nullopt;
@@ -272,8 +274,8 @@
     }
     if (!answer)
         answer =
-            take_allowance(n.allowances, ask->team, ask->limit, ask->max_wait,
-                           make_allowance_policy(n), mono_now());
+            take_allowance(n.owned_allowances, ask->team, ask->limit,
+                           ask->max_wait, make_allowance_policy(n), mono_now());
     return send_peer_reply(to, to_text(*answer), y);
 }
 
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -58,7 +58,7 @@
     w.request.entry_stopping = h->entry_stopping;
     w.request.priority = h->priority;
     w.request.deadline =
-        now + std::min(h->remaining, n.door.limits.longest_deadline);
+        now + std::min(h->remaining, n.local_gate.limits.longest_deadline);
     w.request.target = h->target;
     if (h->target > 0)
         w.request.due = now + h->target - h->elapsed;
@@ -90,16 +90,17 @@
     a.echo = attempt_echo(w.request.attempt);
     a.outcome = outcome;
     a.reason = reason;
-    a.load = gate_load(n.door, id);
-    a.baseline_work = gate_mean_duration(n.door, id);
-    a.failure_percent = percent_of(gate_failure_probability(n.door, id, now));
-    a.suspect = is_suspect(n.door, id, now);
+    a.load = gate_load(n.local_gate, id);
+    a.baseline_work = gate_mean_duration(n.local_gate, id);
+    a.failure_percent =
+        percent_of(gate_failure_probability(n.local_gate, id, now));
+    a.suspect = is_suspect(n.local_gate, id, now);
     const auto it = n.workers.find(id);
     if (it != n.workers.end())
         a.severity = severity_for_source(it->second, w.source);
     // Only non-idempotent requests name the exit process and its stamp.
     if (!w.request.idempotent) {
-        a.boot = n.door.boot;
+        a.boot = n.local_gate.boot;
         a.stamp = now;
     }
     return a;
@@ -114,7 +115,7 @@
     string_response r(http::status::service_unavailable, 11);
     auto a = make_hop_answer(n, w, outcome, reason);
     a.reached = reached;
-    a.retry_after = gate_retry_after(n.door, w.request.worker);
+    a.retry_after = gate_retry_after(n.local_gate, w.request.worker);
     r.set(hop_header, to_text(a));
     r.keep_alive(true);
     r.prepare_payload();
@@ -128,35 +129,36 @@
 gate_error wait_for_slot(node_state& n, exit_request& w,
                          beast::tcp_stream& stream, const yield& y)
 {
-    auto ticket = std::make_shared<gate_ticket>(n.ctx, w.request.deadline);
-    n.tickets[w.request.attempt] = ticket;
+    auto admission =
+        std::make_shared<pending_admission>(n.ctx, w.request.deadline);
+    n.pending_admissions[w.request.attempt] = admission;
     stream.socket().async_wait(
-        tcp::socket::wait_read, [ticket, &stream](beast::error_code ec) {
-            if (ec || ticket->decision || !peer_closed(stream.socket()))
+        tcp::socket::wait_read, [admission, &stream](beast::error_code ec) {
+            if (ec || admission->decision || !peer_closed(stream.socket()))
                 return;
-            ticket->caller_left = true;
-            ticket->signal.cancel();
+            admission->caller_left = true;
+            admission->signal.cancel();
         });
-    while (!ticket->decision && !ticket->caller_left) {
-        const auto left = ticket->deadline - mono_now() + us_per_ms;
-        ticket->signal.expires_after(std::chrono::microseconds(left));
+    while (!admission->decision && !admission->caller_left) {
+        const auto left = admission->deadline - mono_now() + us_per_ms;
+        admission->signal.expires_after(std::chrono::microseconds(left));
         beast::error_code ec;
-        ticket->signal.async_wait(y[ec]);
-        if (!ticket->decision && !ticket->caller_left)
+        admission->signal.async_wait(y[ec]);
+        if (!admission->decision && !admission->caller_left)
             advance_gate(n, w.request.worker);
     }
-    n.tickets.erase(w.request.attempt);
-    w.request.deadline = ticket->deadline;
-    w.request.entry_stopping = w.request.entry_stopping || ticket->shortened;
+    n.pending_admissions.erase(w.request.attempt);
+    w.request.deadline = admission->deadline;
+    w.request.entry_stopping = w.request.entry_stopping || admission->shortened;
     // The socket's handler may still run; a decision makes it return at once.
-    if (!ticket->decision)
-        ticket->decision = gate_decision{};
+    if (!admission->decision)
+        admission->decision = gate_decision{};
     beast::error_code ec;
     stream.socket().cancel(ec);
-    if (!ticket->caller_left || ticket->decision->start)
-        return ticket->decision->start ? gate_error::none
-                                       : ticket->decision->refusal;
-    gate_cancel_queued(n.door, w.request, mono_now());
+    if (!admission->caller_left || admission->decision->start)
+        return admission->decision->start ? gate_error::none
+                                          : admission->decision->refusal;
+    gate_cancel_queued(n.local_gate, w.request, mono_now());
     return gate_error::revoked;
 }
 
@@ -187,7 +189,7 @@
 gate_error refuse_quarantined(node_state& n, const exit_request& w)
 {
     if (!w.request.idempotent)
-        gate_revoke(n.door, w.request.attempt, w.request.boot, mono_now(),
+        gate_revoke(n.local_gate, w.request.attempt, w.request.boot, mono_now(),
                     n.safeguards.gate);
     return gate_error::quarantined;
 }
@@ -195,7 +197,7 @@
 /// Releases the slot of work that was quarantined while it was queued.
 gate_error withdraw_quarantined(node_state& n, const exit_request& w)
 {
-    gate_finish(n.door, w.request, work_result::unsent, 0, mono_now());
+    gate_finish(n.local_gate, w.request, work_result::unsent, 0, mono_now());
     advance_gate(n, w.request.worker);
     return gate_error::quarantined;
 }
@@ -209,8 +211,8 @@
     // the next process too.
     if (is_quarantined(n, w.message, w.fingerprint_cache))
         return refuse_quarantined(n, w);
-    const auto a = gate_admit(command_mode::apply, n.door, w.request, since,
-                              last, n.safeguards.gate);
+    const auto a = gate_admit(command_mode::apply, n.local_gate, w.request,
+                              since, last, n.safeguards.gate);
     if (!a)
         return last;
     if (*a != admission::queued)
@@ -235,9 +237,9 @@
     const auto deadline = mono_now() + notice->remaining;
     std::set<worker_id> affected;
     for (const auto& a : notice->attempts) {
-        const auto queued_at = gate_shorten_deadline(n.door, a, deadline);
-        const auto it = n.tickets.find(a);
-        if (!queued_at || it == n.tickets.end())
+        const auto queued_at = gate_shorten_deadline(n.local_gate, a, deadline);
+        const auto it = n.pending_admissions.find(a);
+        if (!queued_at || it == n.pending_admissions.end())
             continue;
         it->second->deadline = std::min(it->second->deadline, deadline);
         it->second->shortened = true;
@@ -309,7 +311,7 @@
         finish_on_worker(n, w.request, a, whole);
     }
     const auto now = mono_now();
-    gate_finish(n.door, w.request, a.result, now - started_at, now);
+    gate_finish(n.local_gate, w.request, a.result, now - started_at, now);
     n.events.write(
         event_id::work_ended, logged_id(n, w),
         "worker=" + worker_name(n, w.request.worker) +
@@ -321,7 +323,8 @@
             describe_lost_work(n, w, a) +
             " us=" + std::to_string(mono_now() - started_at));
     advance_gate(n, w.request.worker);
-    count(*n.metrics.gate, "decision", a.reason.empty() ? "ran" : a.reason);
+    increment_counter(*n.metrics.gate, "decision",
+                      a.reason.empty() ? "ran" : a.reason);
     if (a.result == work_result::answered || a.head_forwarded)
         return alive;
     const bool ran = a.result == work_result::lost;
@@ -332,8 +335,8 @@
 
 std::string describe_gate(const node_state& n, const exit_request& w)
 {
-    const auto it = n.door.workers.find(w.request.worker);
-    if (it == n.door.workers.end())
+    const auto it = n.local_gate.workers.find(w.request.worker);
+    if (it == n.local_gate.workers.end())
         return "";
     const auto now = mono_now();
     const auto& g = it->second;
@@ -344,9 +347,10 @@
            " waiting=" + std::to_string(g.queue.size()) +
            " limit=" + std::to_string(static_cast<int>(g.limit)) +
            " usual_ms=" + std::to_string(g.mean_duration / us_per_ms) +
-           " pressure=" + percent(on_time_load_now(g, n.door.limits, now)) +
-           " doubt=" +
-           percent(gate_failure_probability(n.door, w.request.worker, now)) +
+           " pressure=" +
+           percent(on_time_load_now(g, n.local_gate.limits, now)) + " doubt=" +
+           percent(
+               gate_failure_probability(n.local_gate, w.request.worker, now)) +
            " left_ms=" + std::to_string((w.request.deadline - now) / us_per_ms);
 }
 
@@ -360,7 +364,7 @@
     if (refused == gate_error::none)
         return execute_admitted(n, *w, stream, y);
     const std::string reason(name_of(gate_error_names, refused));
-    count(*n.metrics.gate, "decision", reason);
+    increment_counter(*n.metrics.gate, "decision", reason);
     // Only after this refusal may the work have run: its first copy did.
     const bool ran = refused == gate_error::duplicate;
     n.events.write(
@@ -376,7 +380,7 @@
 {
     hop_answer a;
     a.outcome = hop_outcome::answer;
-    a.boot = n.door.boot;
+    a.boot = n.local_gate.boot;
     a.stamp = mono_now();
     return send_peer_reply(to, to_text(a), y);
 }
@@ -414,12 +418,12 @@
 
 void advance_gate(node_state& n, worker_id w)
 {
-    deliver_gate_decisions(n, gate_advance(n.door, w, mono_now()));
+    deliver_gate_decisions(n, gate_advance(n.local_gate, w, mono_now()));
 }
 
 void tick_gate(node_state& n, mono_us now)
 {
-    gate_expire_records(n.door, now);
+    gate_expire_records(n.local_gate, now);
     for (const auto& [id, w] : n.workers) {
         record_early_success(n, id, now);
         advance_gate(n, id);
@@ -429,9 +433,9 @@
 revoke_reply handle_revoke(node_state& n, const attempt_id& a, boot_id boot)
 {
     const auto reply =
-        gate_revoke(n.door, a, boot, mono_now(), n.safeguards.gate);
-    const auto it = n.tickets.find(a);
-    if (reply == revoke_reply::not_run && it != n.tickets.end()) {
+        gate_revoke(n.local_gate, a, boot, mono_now(), n.safeguards.gate);
+    const auto it = n.pending_admissions.find(a);
+    if (reply == revoke_reply::not_run && it != n.pending_admissions.end()) {
         it->second->decision = gate_decision{a, false, gate_error::revoked};
         it->second->signal.cancel();
     }
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -13,7 +13,7 @@
 void disable_mechanisms(node_state& n)
 {
     const auto& e = n.settings.experiment;
-    auto& gate = n.door.limits;
+    auto& gate = n.local_gate.limits;
     const bool doubt = e.is_enabled(mechanism::failure_estimation);
     gate.doubt.on = doubt;
     n.balance.estimate.on = doubt;
@@ -33,7 +33,7 @@
 
 void scale_parameter(node_state& n, const scaled_tunable& x)
 {
-    auto& gate = n.door.limits;
+    auto& gate = n.local_gate.limits;
     auto& place = n.placing;
     switch (x.what) {
     case tunable::refusal_memory:
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-void take_members(node_state& n, const std::vector<member_news>& news)
+void apply_member_updates(node_state& n, const std::vector<member_update>& news)
 {
     const auto now = mono_now();
     for (const auto& x : news) {
@@ -87,7 +87,7 @@
     apply_claims_of(n, services);
 }
 
-void take_config(node_state& n, std::shared_ptr<const fleet_config> c)
+void apply_config(node_state& n, std::shared_ptr<const fleet_config> c)
 {
     // Never back: a slower fetch of an older version may end later.
     if (n.config && c->version <= n.config->version)
@@ -97,9 +97,9 @@
     set_version_in_force(n.fresh, n.config->version);
     n.metrics.config_unclear->Increment(
         static_cast<double>(n.config->warnings.size()));
-    n.service_places.clear();
+    n.service_positions.clear();
     for (std::size_t k = 0; k < n.config->services.size(); ++k)
-        n.service_places[service_of(n.config->services[k].name)] = k;
+        n.service_positions[service_of(n.config->services[k].name)] = k;
     refresh_ejection_policies(n);
     apply_all_claims(n);
 }
--- a/src/node/fleet_news.hpp
+++ b/src/node/fleet_news.hpp
@@ -7,9 +7,10 @@
 namespace jasminetray {
 
 /// Takes other nodes' records and liveness into the view of the fleet.
-void take_members(node_state& n, const std::vector<member_news>& news);
+void apply_member_updates(node_state& n,
+                          const std::vector<member_update>& news);
 
 /// Brings a configuration into force, unless a higher one is.
-void take_config(node_state& n, std::shared_ptr<const fleet_config> c);
+void apply_config(node_state& n, std::shared_ptr<const fleet_config> c);
 
 } // namespace jasminetray
--- a/src/node/health_driver.cpp
+++ b/src/node/health_driver.cpp
@@ -63,7 +63,7 @@
                    describe_evidence(n, w, now) +
                        " scope=" + scope_name(n, s.scope));
     health_eject(w.health, w.policy, now);
-    count(*n.metrics.verdicts, "step", "eject");
+    increment_counter(*n.metrics.ejection_steps, "step", "eject");
     publish_self(n);
 }
 
@@ -72,7 +72,7 @@
                        const std::string& text)
 {
     n.events.write(event_id::ejection_held_by_peers, w.name, text);
-    count(*n.metrics.verdicts, "step", "hold");
+    increment_counter(*n.metrics.ejection_steps, "step", "hold");
 }
 
 void restore(node_state& n, local_worker& w, mono_us now)
@@ -84,18 +84,18 @@
         << " flaps=" << w.health.flaps;
     n.events.write(event_id::worker_returned, w.name, out.str());
     health_restore(w.health, w.policy, now);
-    count(*n.metrics.verdicts, "step", "restore");
+    increment_counter(*n.metrics.ejection_steps, "step", "restore");
     publish_self(n);
 }
 
 void decide_ejection(node_state& n, std::uint64_t query_id)
 {
-    const auto ask = n.asks.find(query_id);
-    if (ask == n.asks.end())
+    const auto ask = n.peer_queries.find(query_id);
+    if (ask == n.peer_queries.end())
         return;
     const auto reports = std::move(ask->second.reports);
     const auto it = n.workers.find(ask->second.about);
-    n.asks.erase(ask);
+    n.peer_queries.erase(ask);
     if (it == n.workers.end() ||
         it->second.health.state == ejection_state::ejected)
         return;
@@ -146,8 +146,8 @@
 void query_peers(node_state& n, local_worker& w, mono_us now)
 {
     const auto s = health_suspicion(w.health, w.policy, now);
-    const auto query_id = n.next_ask++;
-    auto& a = n.asks[query_id];
+    const auto query_id = n.next_peer_query++;
+    auto& a = n.peer_queries[query_id];
     a.about = w.id;
     add_local_reports(n, w, s, a.reports);
     baseline_query q;
@@ -160,7 +160,7 @@
     if (peers.empty())
         return decide_ejection(n, query_id);
     for (const auto& p : peers)
-        n.control.send_usual(p.ip, p.gossip_port, q, false);
+        n.control.send_baseline_message(p.ip, p.gossip_port, q, false);
     auto timer = std::make_shared<asio::steady_timer>(n.ctx);
     timer->expires_after(std::chrono::microseconds(peer_query_timeout));
     timer->async_wait([&n, query_id, timer](beast::error_code) {
@@ -184,7 +184,8 @@
         break;
     }
     const int severity = severity_of(w, now);
-    if (severity / severity_publish_step != w.published / severity_publish_step)
+    if (severity / severity_publish_step !=
+        w.published_severity / severity_publish_step)
         publish_self(n);
 }
 
@@ -204,9 +205,10 @@
 void log_suspicion_change(node_state& n, worker_id id, bool was_suspect,
                           const char* cause)
 {
-    if (is_suspect(n.door, id, mono_now()) == was_suspect)
+    if (is_suspect(n.local_gate, id, mono_now()) == was_suspect)
         return;
-    const auto probability = gate_failure_probability(n.door, id, mono_now());
+    const auto probability =
+        gate_failure_probability(n.local_gate, id, mono_now());
     n.events.write(was_suspect ? event_id::worker_trusted
                                : event_id::worker_suspected,
                    n.workers[id].name,
@@ -216,8 +218,8 @@
 
 void record_overdue_request(node_state& n, worker_id id, mono_us now)
 {
-    const bool was_suspect = is_suspect(n.door, id, now);
-    deliver_gate_decisions(n, gate_report_overdue(n.door, id, now));
+    const bool was_suspect = is_suspect(n.local_gate, id, now);
+    deliver_gate_decisions(n, gate_report_overdue(n.local_gate, id, now));
     log_suspicion_change(n, id, was_suspect, "silence");
 }
 
@@ -225,8 +227,8 @@
 
 void record_early_success(node_state& n, worker_id id, mono_us now)
 {
-    const bool was_suspect = is_suspect(n.door, id, now);
-    gate_check_early_success(n.door, id, now);
+    const bool was_suspect = is_suspect(n.local_gate, id, now);
+    gate_check_early_success(n.local_gate, id, now);
     log_suspicion_change(n, id, was_suspect, "survival");
 }
 
@@ -235,10 +237,10 @@
 {
     if (seen == outcome_kind::neutral)
         return;
-    const bool was_suspect = is_suspect(n.door, id, mono_now());
+    const bool was_suspect = is_suspect(n.local_gate, id, mono_now());
     const bool failed = seen == outcome_kind::failed;
     deliver_gate_decisions(
-        n, gate_report_outcome(n.door, id, failed, took, mono_now()));
+        n, gate_report_outcome(n.local_gate, id, failed, took, mono_now()));
     log_suspicion_change(n, id, was_suspect, failed ? "failure" : "success");
 }
 
@@ -251,20 +253,20 @@
         load_report l;
         l.worker = id;
         l.service = service_of(w.service);
-        l.load = gate_load(n.door, id);
-        l.work = gate_mean_duration(n.door, id);
+        l.load = gate_load(n.local_gate, id);
+        l.work = gate_mean_duration(n.local_gate, id);
         l.failure_probability =
-            percent_of(gate_failure_probability(n.door, id, now));
-        l.suspect = is_suspect(n.door, id, now);
-        if (!is_load_update_due(l, w.told, w.slots, now - w.told_at,
-                                n.load_news))
+            percent_of(gate_failure_probability(n.local_gate, id, now));
+        l.suspect = is_suspect(n.local_gate, id, now);
+        if (!is_load_update_due(l, w.reported_load, w.slots,
+                                now - w.load_reported_at, n.load_updates))
             continue;
-        w.told = l;
-        w.told_at = now;
+        w.reported_load = l;
+        w.load_reported_at = now;
         changed.push_back(l);
     }
     if (!changed.empty())
-        n.control.tell_loads(std::move(changed));
+        n.control.send_load_reports(std::move(changed));
 }
 
 void apply_load_reports(node_state& n, const std::vector<load_report>& loads)
@@ -315,13 +317,13 @@
         reply.reports.push_back(
             {r.seen, r.failed, r.above, r.burst_span, r.source_share});
     }
-    n.control.send_usual(ip, port, reply, true);
+    n.control.send_baseline_message(ip, port, reply, true);
 }
 
 void handle_baseline_response(node_state& n, const baseline_query& q)
 {
-    const auto it = n.asks.find(q.correlation_id);
-    if (it == n.asks.end() || it->second.awaited == 0)
+    const auto it = n.peer_queries.find(q.correlation_id);
+    if (it == n.peer_queries.end() || it->second.awaited == 0)
         return;
     for (const auto& r : q.reports)
         it->second.reports.push_back(
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -71,7 +71,7 @@
 bool may_admit(const node_state& n, const announcement& a,
                const probe_result& p)
 {
-    const auto& known = n.hosted.known.names;
+    const auto& known = n.hosted.incarnations.names;
     const auto it = known.find(p.name);
     if (p.name != a.name || (it != known.end() && it->second.departed) ||
         !is_service_known(n, a.service))
@@ -90,7 +90,7 @@
 void apply_probe_result(node_state& n, const probe_result& p)
 {
     auto& h = n.hosted;
-    h.missed = p.reached ? 0 : h.missed + 1;
+    h.missed_probes = p.reached ? 0 : h.missed_probes + 1;
     auto* w = current_worker(n);
     if (w != nullptr && p.name == w->name && !has_newer_candidate(h, p)) {
         w->announced_at = mono_now();
@@ -109,7 +109,7 @@
         if (may_admit(n, a, p))
             admit_candidate(n, a, p);
     }
-    if (w != nullptr && h.missed >= max_missed_probes &&
+    if (w != nullptr && h.missed_probes >= max_missed_probes &&
         mono_now() - w->announced_at > check_in_timeout)
         deregister_worker(n, w->id, "silent");
 }
@@ -152,8 +152,8 @@
         w.draining = true;
         n.events.write(event_id::worker_draining, w.name,
                        a.leaving ? "left=1" : "left=0");
-        deliver_gate_decisions(n,
-                               gate_drain_worker(n.door, id, true, mono_now()));
+        deliver_gate_decisions(
+            n, gate_drain_worker(n.local_gate, id, true, mono_now()));
         publish_self(n);
     }
 }
@@ -163,9 +163,10 @@
 void handle_check_in(node_state& n, const announcement& a)
 {
     auto& h = n.hosted;
-    const auto step = apply_announcement(h.known, a, mono_now(), wall_ms_now());
-    count(*n.metrics.check_ins, "fate",
-          std::string(name_of(announcement_status_names, step)));
+    const auto step =
+        apply_announcement(h.incarnations, a, mono_now(), wall_ms_now());
+    increment_counter(*n.metrics.check_ins, "fate",
+                      std::string(name_of(announcement_status_names, step)));
     switch (step) {
     case announcement_status::stale:
         return;
--- a/src/node/idempotency_key.cpp
+++ b/src/node/idempotency_key.cpp
@@ -23,14 +23,14 @@
         store_error error = store_error::unclear;
         std::string first;
     };
-    if (n.slow_calls == nullptr || n.claims_open >= max_claims)
+    if (n.blocking_pool == nullptr || n.open_key_claims >= max_claims)
         return store_error::unreachable;
-    ++n.claims_open;
+    ++n.open_key_claims;
     auto state = std::make_shared<claim_state>();
     auto signal = std::make_shared<asio::steady_timer>(n.ctx);
     signal->expires_at(asio::steady_timer::time_point::max());
     auto store = n.store;
-    asio::post(*n.slow_calls, [=, &ctx = n.ctx] {
+    asio::post(*n.blocking_pool, [=, &ctx = n.ctx] {
         store_error result{};
         store.write_rows({{{key_table, row}, 0, owner, false}}, result);
         // After a lost answer or a conflict, reads the row to find its owner.
@@ -48,7 +48,7 @@
     });
     beast::error_code ec;
     signal->async_wait(y[ec]);
-    --n.claims_open;
+    --n.open_key_claims;
     first = state->first;
     return state->error;
 }
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -73,7 +73,7 @@
 
 void pass_changes(caf::event_based_actor* self, member_keeper& k)
 {
-    std::vector<member_news> news;
+    std::vector<member_update> news;
     std::set<node_id> told;
     for (const auto& c : member_take_changes(k.table)) {
         if (c.kind == member_change_kind::config) {
@@ -159,7 +159,7 @@
 /// Only the own data centre is told: there it costs no more than a small
 /// datagram to each, and placing by what was said a second ago leaves slots
 /// empty next to full queues.
-void tell_loads(member_keeper& k, const std::vector<load_report>& loads)
+void send_load_reports(member_keeper& k, const std::vector<load_report>& loads)
 {
     auto m = make_message(k.table, gossip_kind::load);
     m.loads = loads;
@@ -172,7 +172,7 @@
     }
 }
 
-void send_crashes(member_keeper& k, const crashes_message& c)
+void send_quarantine_messages(member_keeper& k, const crashes_message& c)
 {
     auto m = make_message(k.table, gossip_kind::quarantine);
     for (const auto& q : c.messages) {
@@ -183,7 +183,7 @@
     }
 }
 
-void send_usual(member_keeper& k, const usual_message& u)
+void send_baseline_message(member_keeper& k, const usual_message& u)
 {
     auto m = make_message(k.table, u.answer ? gossip_kind::baseline_response
                                             : gossip_kind::baseline_request);
@@ -220,9 +220,9 @@
             tell_proof(*k);
         },
         [=](const self_message& m) { member_update_self(k->table, m.record); },
-        [=](const usual_message& m) { send_usual(*k, m); },
-        [=](const loads_message& m) { tell_loads(*k, m.loads); },
-        [=](const crashes_message& m) { send_crashes(*k, m); },
+        [=](const usual_message& m) { send_baseline_message(*k, m); },
+        [=](const loads_message& m) { send_load_reports(*k, m.loads); },
+        [=](const crashes_message& m) { send_quarantine_messages(*k, m); },
         [=](const version_message& m) {
             member_observe_config(k->table, m.version, m.manifest);
             pass_changes(self, *k);
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -166,12 +166,13 @@
                              {asio::ip::address_v4(ip), port}, 0, ec);
         });
     };
-    k.members_changed = [&p, &ctx](std::vector<member_news> news) {
-        asio::post(
-            ctx, [&p, news = std::move(news)] { take_members(p.state, news); });
+    k.members_changed = [&p, &ctx](std::vector<member_update> news) {
+        asio::post(ctx, [&p, news = std::move(news)] {
+            apply_member_updates(p.state, news);
+        });
     };
     k.config_ready = [&p, &ctx](std::shared_ptr<const fleet_config> c) {
-        asio::post(ctx, [&p, c = std::move(c)] { take_config(p.state, c); });
+        asio::post(ctx, [&p, c = std::move(c)] { apply_config(p.state, c); });
     };
     k.proof_heard = [&p, &ctx](const freshness_proof& proof,
                                const store_clock& clock) {
@@ -205,10 +206,10 @@
     };
     k.datagram_counted = [&p](wire_error e, std::size_t bytes) {
         p.metrics->bytes_in->Increment(static_cast<double>(bytes));
-        count(*p.metrics->datagrams, "fate",
-              e == wire_error::none
-                  ? "taken"
-                  : std::string(name_of(wire_error_names, e)));
+        increment_counter(*p.metrics->datagrams, "fate",
+                          e == wire_error::none
+                              ? "taken"
+                              : std::string(name_of(wire_error_names, e)));
     };
     return k;
 }
@@ -219,17 +220,19 @@
     h.update_self = [&p](node_record r) {
         p.slow_state->update_self(std::move(r));
     };
-    h.tell_loads = [&p](std::vector<load_report> loads) {
-        p.slow_state->tell_loads(std::move(loads));
-    };
-    h.send_usual = [&p](std::uint32_t ip, std::uint16_t port,
-                        const baseline_query& q, bool answer) {
-        p.slow_state->send_usual(ip, port, q, answer);
+    h.send_load_reports = [&p](std::vector<load_report> loads) {
+        p.slow_state->send_load_reports(std::move(loads));
     };
-    h.send_crashes = [&p](std::vector<node_address> to,
-                          std::vector<quarantine_message> messages) {
-        p.slow_state->send_crashes(std::move(to), std::move(messages));
+    h.send_baseline_message = [&p](std::uint32_t ip, std::uint16_t port,
+                                   const baseline_query& q, bool answer) {
+        p.slow_state->send_baseline_message(ip, port, q, answer);
     };
+    h.send_quarantine_messages =
+        [&p](std::vector<node_address> to,
+             std::vector<quarantine_message> messages) {
+            p.slow_state->send_quarantine_messages(std::move(to),
+                                                   std::move(messages));
+        };
     h.revoke = [&p](const node_address& to, const attempt_id& a, boot_id boot,
                     span_us bound, auto done) {
         if (p.revokes_open >= max_revokes)
@@ -268,16 +271,16 @@
     };
     h.chunk = [&p](std::uint64_t hash) { return p.cache.get(hash); };
     h.query = [&p](const std::string& text) {
-        const auto a = on_request_thread<api_answer>(p, [&p, text] {
+        const auto a = on_request_thread<api_response>(p, [&p, text] {
             // The request, and in a second line the token of a change.
             const auto line = text.find('\n');
             const auto request = text.substr(0, line);
             if (!is_command(request))
-                return answer_query(p.state, request);
+                return handle_query(p.state, request);
             const api_caller who{
                 false, line == std::string::npos ? "" : text.substr(line + 1),
                 "rpc"};
-            return carry_out_command(p.state, request, who);
+            return handle_command(p.state, request, who);
         });
         return a ? a->json : std::string(R"({"error":"busy"})");
     };
@@ -309,8 +312,8 @@
     auto& n = p.state;
     const auto& s = p.settings;
     beast::error_code ec;
-    n.door.boot = static_cast<boot_id>(random_word());
-    n.door.limits.stamp_bound = s.stamp_bound;
+    n.local_gate.boot = static_cast<boot_id>(random_word());
+    n.local_gate.limits.stamp_bound = s.stamp_bound;
     n.rng.value = random_word();
     // Unique over restarts without a disk: the boot's random bits are part
     // of every request id.
@@ -318,7 +321,7 @@
     n.started_at = mono_now();
     n.members_changed_at = n.started_at;
     n.self.id = static_cast<node_id>(text_hash(s.name));
-    n.self.boot = n.door.boot;
+    n.self.boot = n.local_gate.boot;
     n.self.generation = wall_ms_now();
     n.self.sequence = 1;
     n.self.name = s.name;
@@ -330,7 +333,7 @@
                       p.rpc->port(),
                       p.admin.local_endpoint(ec).port()};
     n.view.centre = n.self.centre;
-    n.slow_calls = &p.slow;
+    n.blocking_pool = &p.slow;
     n.fingerprints = make_fingerprint_key(s.key);
     n.quarantine.policy.crashes =
         static_cast<std::size_t>(s.quarantine.crashes);
@@ -350,7 +353,7 @@
         s.attempt.unknown_when_unproven =
             s.attempt.unknown_when_unproven && name != "unknown";
         s.check_echo = s.check_echo && name != "echo";
-        s.close_unclean = s.close_unclean && name != "unclean";
+        s.close_incomplete = s.close_incomplete && name != "unclean";
     }
 }
 
@@ -413,7 +416,7 @@
         if (is_hosted(p.settings))
             c.documents = make_operator_source(p.settings.hosted.floor_share);
     } else {
-        p.state.slow_calls = nullptr;
+        p.state.blocking_pool = nullptr;
     }
     c.seed = random_word();
     p.slow_state = std::make_unique<control>(std::move(c), make_sinks(p),
@@ -422,14 +425,15 @@
 
 void drop_idle_links(node_state& n, mono_us now)
 {
-    for (auto it = n.exits.begin(); it != n.exits.end();) {
+    for (auto it = n.exit_connections.begin();
+         it != n.exit_connections.end();) {
         auto& pool = it->second;
         pool.erase(std::remove_if(pool.begin(), pool.end(),
                                   [now](const auto& link) {
                                       return now - link->last_used > idle_link;
                                   }),
                    pool.end());
-        it = pool.empty() ? n.exits.erase(it) : std::next(it);
+        it = pool.empty() ? n.exit_connections.erase(it) : std::next(it);
     }
 }
 
@@ -444,14 +448,14 @@
         reload_settings(p.settings, n);
     evict_idle_allowances(n.teams, local_limit_policy(), now);
     evict_idle_allowances(n.allowances, make_allowance_policy(n), now);
-    evict_idle_allowances(n.own_parts, make_allowance_policy(n), now);
+    evict_idle_allowances(n.fallback_allowances, make_allowance_policy(n), now);
     quarantine_expire(n.quarantine, uptime_now());
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
         members.push_back(id);
     path_prune(n.paths, members);
     // The few that were silent lately; ids of nodes that left go with them.
-    n.silent_homes.clear();
+    n.unresponsive_owners.clear();
 }
 
 void close_doors(node_parts& p)
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -29,9 +29,9 @@
     r.service = service_of(w.service);
     r.slots = static_cast<std::uint16_t>(w.slots);
     r.severity = static_cast<std::uint8_t>(shown);
-    r.draining = w.draining || w.drained_here;
+    r.draining = w.draining || w.drained_by_operator;
     r.failure_probability = static_cast<std::uint8_t>(
-        percent_of(gate_failure_probability(n.door, w.id, now)));
+        percent_of(gate_failure_probability(n.local_gate, w.id, now)));
     r.scope = w.health.state == ejection_state::ejected
                   ? scope_centre(n, w.health.scope)
                   : centre_id{};
@@ -120,8 +120,8 @@
         return;
     const auto now = mono_now();
     for (const auto id : services) {
-        const auto it = n.service_places.find(id);
-        if (it != n.service_places.end())
+        const auto it = n.service_positions.find(id);
+        if (it != n.service_positions.end())
             apply_service(n, n.config->services[it->second], now);
     }
 }
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -45,17 +45,17 @@
     tcp::endpoint at;
     int slots = 1;
     bool draining = false;
-    bool drained_here = false; ///< by an operator
-    mono_us announced_at = 0;  ///< last announcement
+    bool drained_by_operator = false; ///< by an operator
+    mono_us announced_at = 0;         ///< last announcement
     worker_health health;
     outlier_policy policy;
     connection_pool idle;
     /// Connections with work on them. Invariant: each lives until its work's
     /// coroutine has taken it out again.
     std::set<http_connection*> busy;
-    std::uint64_t next_key = 0; ///< of outstanding work, for the evidence
-    int published = 0;          ///< severity in the node's record
-    load_report told;           ///< to the data centre, last
+    std::uint64_t next_work_key = 0; ///< of outstanding work, for the evidence
+    int published = 0;               ///< severity in the node's record
+    load_report told;                ///< to the data centre, last
     mono_us told_at = 0;
     std::uint64_t boot = 0; ///< of its process, as announced; its
                             ///< incarnation together with the name; 0
@@ -72,9 +72,9 @@
 };
 
 /// Queued work that waits for the gate's decision.
-struct gate_ticket
+struct pending_admission
 {
-    gate_ticket(asio::io_context& ctx, mono_us until)
+    pending_admission(asio::io_context& ctx, mono_us until)
         : signal(ctx), deadline(until)
     {
     }
@@ -87,7 +87,7 @@
 };
 
 /// Peers' reports that are still awaited.
-struct usual_ask
+struct peer_query
 {
     worker_id about{};
     std::size_t awaited = 0;
@@ -110,13 +110,13 @@
 struct control_hooks
 {
     std::function<void(node_record)> update_self;
-    std::function<void(std::vector<load_report>)> tell_loads;
+    std::function<void(std::vector<load_report>)> send_load_reports;
     std::function<void(std::uint32_t ip, std::uint16_t port,
                        const baseline_query&, bool answer)>
-        send_usual;
+        send_baseline_message;
     std::function<void(std::vector<node_address> to,
                        std::vector<quarantine_message>)>
-        send_crashes;
+        send_quarantine_messages;
     /// Asks an exit node on a new connection; `done` runs on the request
     /// thread, with nothing when there was no reply.
     std::function<void(const node_address&, const attempt_id&, boot_id,
@@ -130,8 +130,8 @@
 {
     gate_safeguards gate;
     attempt_safeguards attempt;
-    bool check_echo = true;    ///< an answer must carry its request's id
-    bool close_unclean = true; ///< no reuse after an incomplete exchange
+    bool check_echo = true;       ///< an answer must carry its request's id
+    bool close_incomplete = true; ///< no reuse after an incomplete exchange
 };
 
 /// The request thread's state.
@@ -150,29 +150,30 @@
     control_hooks control;
     node_safeguards safeguards;
     store_api store;
-    asio::thread_pool* slow_calls = nullptr; ///< for blocking claims
-    int claims_open = 0;                     ///< invariant: <= max_claims
-    node_record self;                        ///< as last published
+    asio::thread_pool* blocking_pool = nullptr; ///< for blocking claims
+    int open_key_claims = 0;                    ///< invariant: <= max_claims
+    node_record self;                           ///< as last published
     random_state rng;
     std::uint64_t next_request = 1;
     mono_us started_at = 0;         ///< this process
     bool stopping = false;          ///< doors are closing
     mono_us refuse_at = mono_never; ///< stopping: new requests come too late
-    mono_us last_answer_at = mono_never; ///< stopping: all must have theirs
-    std::set<entry_request*> open_runs;  ///< requests without a final answer
-    freshness fresh;                     ///< of the configuration in force
-    bool proven = true;                  ///< it is fresh enough; for the log
-    mono_us members_changed_at = 0;      ///< a node came, went or died
-    allowance_table allowances;          ///< of teams that have their home here
+    mono_us last_answer_at = mono_never;    ///< stopping: all must have theirs
+    std::set<entry_request*> open_requests; ///< requests without a final answer
+    freshness fresh;                        ///< of the configuration in force
+    bool proven = true;                     ///< it is fresh enough; for the log
+    mono_us members_changed_at = 0;         ///< a node came, went or died
+    allowance_table allowances; ///< of teams that have their home here
     /// Nodes that did not answer as a team's home, and when.
-    std::unordered_map<node_id, mono_us> silent_homes;
-    allowance_table own_parts; ///< of teams whose homes cannot be reached
+    std::unordered_map<node_id, mono_us> unresponsive_owners;
+    allowance_table
+        fallback_allowances; ///< of teams whose homes cannot be reached
     bool store_reachable = false;
     mono_us config_at = 0; ///< when the configuration came into force
     std::shared_ptr<const fleet_config> config; ///< null until there is one
 
     /// Places in config->services; made anew with each configuration.
-    std::unordered_map<service_id, std::size_t> service_places;
+    std::unordered_map<service_id, std::size_t> service_positions;
 
     http_dialect dialect;
     fingerprint_key fingerprints{}; ///< key of requests' fingerprints
@@ -180,10 +181,11 @@
     hosted_state hosted;
     gate door;
     std::map<worker_id, local_worker> workers;
-    std::unordered_map<attempt_id, std::shared_ptr<gate_ticket>, attempt_hash>
-        tickets;
-    std::map<std::uint64_t, usual_ask> asks;
-    std::uint64_t next_ask = 1;
+    std::unordered_map<attempt_id, std::shared_ptr<pending_admission>,
+                       attempt_hash>
+        pending_admissions;
+    std::map<std::uint64_t, peer_query> asks;
+    std::uint64_t next_peer_query = 1;
     std::map<std::uint32_t, std::uint32_t> source_index; ///< centre to index
 
     fleet_view view;
@@ -194,14 +196,15 @@
     balance_policy balance;
     placement_policy placing;
     load_update_policy load_news;
-    mono_us call_failed_at = 0; ///< newest failure that was said to a caller
+    mono_us last_failure_reported_at =
+        0; ///< newest failure that was said to a caller
     std::unordered_map<node_id, connection_pool> exits;
     std::unordered_map<std::string, retry_budget> budgets;
     std::unordered_map<std::string, int> in_flight_by_service;
     int in_flight = 0;
     allowance_table teams; ///< where teams have no keys
     /// Where the next request of a route falls among its parts, by route.
-    std::unordered_map<std::string, double> split_places;
+    std::unordered_map<std::string, double> split_positions;
 };
 
 /// A share as whole percent.
--- a/src/node/peer_request.cpp
+++ b/src/node/peer_request.cpp
@@ -35,8 +35,8 @@
                   const char* path, const std::function<std::string()>& text,
                   mono_us deadline, const yield& y)
 {
-    auto link =
-        take_idle_connection(n.exits[to], mono_now() - exit_idle_timeout);
+    auto link = take_idle_connection(n.exit_connections[to],
+                                     mono_now() - exit_idle_timeout);
     auto answer = link ? exchange_messages(*link, path, text(), deadline, y)
                        : std::nullopt;
     if (!answer && mono_now() < deadline) {
@@ -45,7 +45,7 @@
                       : std::nullopt;
     }
     if (answer)
-        return_connection(n.exits[to], std::move(link),
+        return_connection(n.exit_connections[to], std::move(link),
                           max_idle_exit_connections, mono_now());
     return answer;
 }
--- a/src/node/quarantine_driver.cpp
+++ b/src/node/quarantine_driver.cpp
@@ -69,7 +69,7 @@
                    std::vector<quarantine_message> messages)
 {
     if (!to.empty() && !messages.empty())
-        n.control.send_crashes(std::move(to), std::move(messages));
+        n.control.send_quarantine_messages(std::move(to), std::move(messages));
 }
 
 void log_quarantines(node_state& n, const std::vector<fingerprint>& begun)
--- a/src/node/quarantine_store.cpp
+++ b/src/node/quarantine_store.cpp
@@ -57,7 +57,7 @@
 
 void read_rows(node_state& n, span_us backoff)
 {
-    asio::post(*n.slow_calls, [&n, backoff, store = n.store] {
+    asio::post(*n.blocking_pool, [&n, backoff, store = n.store] {
         store_error last{};
         const auto list = store.list_rows(quarantine_table, last);
         asio::post(n.ctx, [&n, backoff, list] {
@@ -72,7 +72,7 @@
 
 void write_row(node_state& n, const row_write& w, span_us backoff, int attempts)
 {
-    asio::post(*n.slow_calls, [&n, w, backoff, attempts, store = n.store] {
+    asio::post(*n.blocking_pool, [&n, w, backoff, attempts, store = n.store] {
         store_error last{};
         const bool done =
             store.write_rows({w}, last) || last == store_error::missing;
@@ -96,13 +96,13 @@
 
 void load_quarantine_rows(node_state& n)
 {
-    if (n.slow_calls != nullptr)
+    if (n.blocking_pool != nullptr)
         read_rows(n, initial_backoff);
 }
 
 void save_quarantine_row(node_state& n, fingerprint request)
 {
-    if (n.slow_calls == nullptr)
+    if (n.blocking_pool == nullptr)
         return;
     row_write w;
     w.name = {quarantine_table, to_text(request)};
@@ -113,7 +113,7 @@
 
 void delete_quarantine_row(node_state& n, fingerprint request)
 {
-    if (n.slow_calls == nullptr)
+    if (n.blocking_pool == nullptr)
         return;
     row_write w;
     w.name = {quarantine_table, to_text(request)};
--- a/src/node/settings_reload.cpp
+++ b/src/node/settings_reload.cpp
@@ -44,7 +44,7 @@
     settings.hosted.retry_ratio = s->hosted.retry_ratio;
     settings.hosted.retry_window = s->hosted.retry_window;
     settings.hosted.retry_slack = s->hosted.retry_slack;
-    n.door.limits.stamp_bound = settings.stamp_bound;
+    n.local_gate.limits.stamp_bound = settings.stamp_bound;
     n.events.write(event_id::settings_reloaded, settings.name,
                    "service=" + settings.hosted.service);
 }
--- a/src/node/worker_request.cpp
+++ b/src/node/worker_request.cpp
@@ -176,7 +176,7 @@
 {
     constexpr span_us immediate_failure = 20 * us_per_ms;
     return mono_now() - a.started_at > immediate_failure &&
-           n.call_failed_at >= a.started_at;
+           n.last_failure_reported_at >= a.started_at;
 }
 
 /// Not counted as a failure: the deadline may have been too short. A backend
@@ -308,7 +308,7 @@
     }
     a.route_class =
         health_route_class(it->second.health, r.route_class, a.started_at);
-    a.evidence_key = ++it->second.next_key;
+    a.evidence_key = ++it->second.next_work_key;
     health_record_sent(it->second.health, {a.evidence_key, a.started_at, source,
                                            a.route_class, r.target, false});
     a.link = connect_worker(n, it->second, r, y);
@@ -339,7 +339,7 @@
         {a.outcome, now - a.started_at, a.source, a.route_class}, now);
     const bool keep =
         whole && a.parser->keep_alive() && is_reusable(*a.link, true);
-    if (a.link && (keep || !n.safeguards.close_unclean))
+    if (a.link && (keep || !n.safeguards.close_incomplete))
         return_connection(it->second.idle, std::move(a.link),
                           max_idle_connections, now);
 }
