--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -1,5 +1,5 @@
-// Commands of the administration API. Each is checked first and leaves an
-// audit event with who asked and why.
+// Commands of the administration API. Each is validated first and writes an
+// audit event with its sender and reason.
 #include "base/text_func.hpp"
 #include "node/admin_api.hpp"
 #include "node/admin_quarantine.hpp"
@@ -18,18 +18,17 @@
 constexpr std::int64_t default_seconds = 600;
 constexpr std::int64_t max_seconds = 86400;
 
-/// A command after parsing.
 struct command
 {
     std::string name;
-    worker_id worker{};    ///< of all commands but release
-    fingerprint request{}; ///< of release
+    worker_id worker{};    ///< for every command except release
+    fingerprint request{}; ///< for release
     std::string reason;
     std::int64_t seconds = default_seconds;
     bool force = false;
 };
 
-api_response refuse(unsigned status, const std::string& why)
+api_response make_error_response(unsigned status, const std::string& why)
 {
     return {status, json::serialize(json::object{{"error", why}})};
 }
@@ -44,25 +43,26 @@
         return std::nullopt;
     }
     const auto& o = v.as_object();
-    const auto words = [&](const char* key) {
+    const auto string_field = [&](const char* key) {
         const auto* x = o.if_contains(key);
         return x && x->is_string() ? std::string(x->as_string()) : "";
     };
     command c;
-    c.name = words("command");
-    c.reason = words("reason");
+    c.name = string_field("command");
+    c.reason = string_field("reason");
     const bool release = c.name == "release";
-    const auto target = parse_hex(words(release ? "fingerprint" : "worker"));
+    const auto target =
+        parse_hex(string_field(release ? "fingerprint" : "worker"));
     const auto* seconds = o.if_contains("seconds");
     if (seconds && seconds->is_int64())
         c.seconds = seconds->as_int64();
     const auto* force = o.if_contains("force");
     c.force = force && force->is_bool() && force->as_bool();
     if (!target)
-        why = release ? "fingerprint must be a request's in hex"
-                      : "worker must be a backend server's id in hex";
+        why = release ? "fingerprint must be a request fingerprint in hex"
+                      : "worker must be a backend server id in hex";
     else if (c.reason.empty())
-        why = "a reason is needed";
+        why = "a reason is required";
     else if (c.seconds < 1 || c.seconds > max_seconds)
         why = "seconds must be 1 to 86400";
     if (!why.empty())
@@ -74,7 +74,7 @@
     return c;
 }
 
-bool may_command(const node_state& n, const api_caller& who)
+bool is_authorized(const node_state& n, const api_caller& who)
 {
     const auto& token = n.settings.admin_token;
     if (token.empty())
@@ -83,8 +83,8 @@
            sodium_memcmp(who.token.data(), token.data(), token.size()) == 0;
 }
 
-/// Says which node guards a backend server that is not on this VM.
-api_response point_elsewhere(const node_state& n, worker_id id)
+/// Returns the exit node of a backend server that is not on this VM.
+api_response redirect_to_exit_node(const node_state& n, worker_id id)
 {
     for (const auto& [node, v] : n.view.nodes) {
         for (const auto& w : v.record.workers) {
@@ -97,10 +97,11 @@
                              {"node", v.record.name}})};
         }
     }
-    return refuse(404, "no such backend server");
+    return make_error_response(404, "no such backend server");
 }
 
-void audit(node_state& n, event_id id, const command& c, const api_caller& who)
+void write_audit_event(node_state& n, event_id id, const command& c,
+                       const api_caller& who)
 {
     n.events.write(id, n.workers[c.worker].name,
                    "command=" + c.name + " by=" + who.name +
@@ -120,34 +121,34 @@
 api_response handle_command(node_state& n, const std::string& request,
                             const api_caller& who)
 {
-    if (!may_command(n, who)) {
+    if (!is_authorized(n, who)) {
         n.events.write(event_id::operator_denied, who.name, "");
-        return refuse(403, "a valid token is needed");
+        return make_error_response(403, "a valid token is required");
     }
     std::string why;
     const auto c = parse_command(request, why);
     if (!c)
-        return refuse(400, why);
+        return make_error_response(400, why);
     if (c->name == "release")
         return release_request(n, c->request, who, c->reason);
     const auto it = n.workers.find(c->worker);
     if (it == n.workers.end())
-        return point_elsewhere(n, c->worker);
+        return redirect_to_exit_node(n, c->worker);
     auto& w = it->second;
     if (c->name == "drain" || c->name == "undrain") {
-        audit(n, event_id::operator_drain, *c, who);
+        write_audit_event(n, event_id::operator_drain, *c, who);
         set_operator_drain(n, c->worker, c->name == "drain");
     } else if (c->name == "eject") {
-        audit(n, event_id::operator_eject, *c, who);
-        w.by_operator = c->force ? forced_severity : operator_severity;
-        w.operator_until = mono_now() + c->seconds * us_per_s;
+        write_audit_event(n, event_id::operator_eject, *c, who);
+        w.override_severity = c->force ? forced_severity : operator_severity;
+        w.override_until = mono_now() + c->seconds * us_per_s;
         publish_self(n);
     } else if (c->name == "readmit") {
-        audit(n, event_id::operator_readmit, *c, who);
-        w.by_operator = 0;
+        write_audit_event(n, event_id::operator_readmit, *c, who);
+        w.override_severity = 0;
         publish_self(n);
     } else {
-        return refuse(400, "unknown command '" + c->name + "'");
+        return make_error_response(400, "unknown command '" + c->name + "'");
     }
     return {200, R"({"done":true})"};
 }
--- a/src/node/admin_quarantine.cpp
+++ b/src/node/admin_quarantine.cpp
@@ -1,4 +1,4 @@
-// Quarantine over the API; see admin_quarantine.hpp.
+// Quarantine queries and release; see admin_quarantine.hpp.
 #include "node/admin_quarantine.hpp"
 
 #include "base/text_func.hpp"
@@ -64,7 +64,7 @@
     n.events.write(event_id::operator_release, to_text(request),
                    "by=" + who.name + " reason=" + reason);
     if (!end_quarantine(n, request, "operator"))
-        return {404, R"({"error":"nothing stands against this request"})"};
+        return {404, R"({"error":"no reports against this request"})"};
     return {200, R"({"done":true})"};
 }
 
--- a/src/node/admin_quarantine.hpp
+++ b/src/node/admin_quarantine.hpp
@@ -1,5 +1,4 @@
-// The quarantine in the administration API: what stands against requests, and
-// an operator's release.
+// Quarantine in the administration API: suspect requests and their release.
 #pragma once
 
 #include "node/admin_api.hpp"
@@ -8,11 +7,11 @@
 
 namespace jasminetray {
 
-/// Requests with standing marks, those in quarantine first; 1,000 at most.
+/// Returns suspect requests, those with the most crashes first; at most 1,000.
 boost::json::object quarantine_json(const node_state& n);
 
-/// Lets a request through again. The other nodes hear of it like of a crash.
-/// @param request its fingerprint
+/// Ends the quarantine of a request, at other nodes through gossip.
+/// @param request fingerprint of the request
 /// @param reason for the audit event
 api_response release_request(node_state& n, fingerprint request,
                              const api_caller& who, const std::string& reason);
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -1,4 +1,4 @@
-// Questions of the administration API; nothing here changes state.
+// Read-only queries of the administration API.
 #include "base/text_func.hpp"
 #include "config/config_query.hpp"
 #include "gate/gate_query.hpp"
@@ -25,7 +25,7 @@
     return to_hex(static_cast<std::uint64_t>(id));
 }
 
-std::string text_at(const json::object& o, const char* key)
+std::string string_field(const json::object& o, const char* key)
 {
     const auto* v = o.if_contains(key);
     return v && v->is_string() ? std::string(v->as_string()) : std::string();
@@ -121,9 +121,10 @@
             {"action", row.action}};
 }
 
-/// A request's id names its entry node; only that one has its records.
-std::optional<json::object> elsewhere(const node_state& n,
-                                      const std::string& subject)
+/// Returns the entry node of a request id, when it is another node: only the
+/// entry node keeps the request's events.
+std::optional<json::object> redirect_to_entry_node(const node_state& n,
+                                                   const std::string& subject)
 {
     const auto id = parse_request_id(subject);
     if (!id || id->entry == n.self.id)
@@ -131,7 +132,7 @@
     const auto it = n.view.nodes.find(id->entry);
     if (it == n.view.nodes.end())
         return json::object{{"error", "the entry node of this request is no "
-                                      "member any more"}};
+                                      "longer a member"}};
     const auto& r = it->second.record;
     return json::object{{"ask", asio::ip::address_v4(r.address.ip).to_string() +
                                     ":" + std::to_string(r.address.rpc_port)},
@@ -140,11 +141,11 @@
 
 json::object explain_json(const node_state& n, const json::object& q)
 {
-    const auto subject = text_at(q, "subject");
-    if (auto other = elsewhere(n, subject))
+    const auto subject = string_field(q, "subject");
+    if (auto other = redirect_to_entry_node(n, subject))
         return *other;
     const auto family =
-        value_of<event_family>(family_names, text_at(q, "family"));
+        value_of<event_family>(family_names, string_field(q, "family"));
     if (!family)
         return {{"error", "unknown family"}};
     json::array records;
@@ -156,9 +157,9 @@
              static_cast<std::int64_t>(n.events.last_overwritten(*family))}};
 }
 
-json::object find_answer(const node_state& n, const json::object& q)
+json::object dispatch_query(const node_state& n, const json::object& q)
 {
-    const auto name = text_at(q, "query");
+    const auto name = string_field(q, "query");
     if (name == "status")
         return status_json(n);
     if (name == "fleet")
@@ -168,7 +169,7 @@
     if (name == "quarantine")
         return quarantine_json(n);
     if (name == "service") {
-        const auto service = text_at(q, "name");
+        const auto service = string_field(q, "name");
         const auto it = n.view.services.find(service_of(service));
         if (it != n.view.services.end())
             return service_json(n, service, it->second);
@@ -181,9 +182,9 @@
     if (name == "teams")
         return teams_json(n);
     if (name == "team")
-        return team_json(n, text_at(q, "name"));
+        return team_json(n, string_field(q, "name"));
     if (name == "whois")
-        return whois_json(n, text_at(q, "key"));
+        return whois_json(n, string_field(q, "key"));
     return {{"error", "unknown query '" + name + "'"}};
 }
 
@@ -195,7 +196,7 @@
     const auto v = json::parse(request, ec);
     if (ec || !v.is_object())
         return {400, R"({"error":"expected a JSON object"})"};
-    const auto answer = find_answer(n, v.as_object());
+    const auto answer = dispatch_query(n, v.as_object());
     return {answer.contains("error") ? 404U : 200U, json::serialize(answer)};
 }
 
--- a/src/node/admin_team.cpp
+++ b/src/node/admin_team.cpp
@@ -1,5 +1,5 @@
-// Questions of the administration API about teams; see admin_api.hpp. No
-// answer holds a key.
+// Team queries of the administration API; see admin_team.hpp. No response
+// contains a key.
 #include "node/admin_team.hpp"
 #include "base/text_func.hpp"
 #include "node/entry_team.hpp"
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t max_teams = 1000; // in one answer
+constexpr std::size_t max_teams = 1000;
 
 json::object limits_json(const std::string& name, const team_config& t)
 {
@@ -18,7 +18,7 @@
     return o;
 }
 
-/// How fresh the configuration is, and until when that is enough.
+/// Returns the age of the configuration and the age limit for key checks.
 json::object freshness_json(const node_state& n)
 {
     const auto age = config_age_bound(n.fresh, uptime_now());
@@ -55,14 +55,14 @@
         return {{"error", "no team '" + name + "' in the configuration"}};
     auto o = limits_json(name, it->second);
     const auto key = text_hash(name);
-    const auto homes = team_owners(n, key, 1);
-    if (!homes.empty()) {
-        const auto home = n.view.nodes.find(homes.front());
-        o["home"] = home->second.record.name;
+    const auto owners = team_owners(n, key, 1);
+    if (!owners.empty()) {
+        const auto owner = n.view.nodes.find(owners.front());
+        o["home"] = owner->second.record.name;
     }
-    const auto count = n.allowances.teams.find(key);
-    if (count != n.allowances.teams.end())
-        o["tokens_here"] = count->second.tokens;
+    const auto allowance = n.owned_allowances.teams.find(key);
+    if (allowance != n.owned_allowances.teams.end())
+        o["tokens_here"] = allowance->second.tokens;
     o["freshness"] = freshness_json(n);
     return o;
 }
--- a/src/node/admin_team.hpp
+++ b/src/node/admin_team.hpp
@@ -1,5 +1,5 @@
-// Questions of the administration API about teams. Each needs a configuration
-// in force.
+// Team queries of the administration API. Each requires a configuration in
+// force.
 #pragma once
 
 #include "node/node_state.hpp"
@@ -10,13 +10,12 @@
 
 namespace json = boost::json;
 
-/// All teams with their limits, and how fresh the configuration is.
+/// Returns all teams with their limits, and the age of the configuration.
 json::object teams_json(const node_state& n);
 
-/// One team: limits, its home, and its tokens if that is this node.
+/// Returns a team's limits and owner node, and its tokens counted at this node.
 json::object team_json(const node_state& n, const std::string& name);
 
-/// The team that a key belongs to.
 json::object whois_json(const node_state& n, const std::string& key);
 
 } // namespace jasminetray
--- a/src/node/config_actor.cpp
+++ b/src/node/config_actor.cpp
@@ -1,6 +1,6 @@
-// The actor that keeps the configuration: reads the head row when it is its
-// turn, fetches from peers first and from the store else, and never goes
-// back to a lower version.
+// Actor that keeps the configuration in force. It learns of new versions from
+// the head row or from peers, fetches them from peers or the store, and never
+// goes back to a lower version.
 #include "base/text_func.hpp"
 #include "config/config_check.hpp"
 #include "config/config_store.hpp"
@@ -13,78 +13,80 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds poll_every(1000);
-constexpr std::chrono::milliseconds catch_up_every(200);
-constexpr span_us chunk_bound = us_per_s / 2;
-/// For a document from one peer. One behind a cut answers nothing, and while it
-/// is waited for the former document stays in force.
-constexpr span_us document_bound = 300 * us_per_ms;
-/// Near peers asked, one a round, until the store is asked as well. In the
-/// first round only the readers have the document.
-constexpr int store_after = 2;
-/// A node that hears of a version must have it within the second that the
-/// platform's shortest bound of 2 s leaves beside hearing of it.
-static_assert(store_after * (catch_up_every / std::chrono::microseconds(1) +
-                             document_bound) <=
+constexpr std::chrono::milliseconds poll_interval(1000);
+constexpr std::chrono::milliseconds catch_up_interval(200);
+constexpr span_us chunk_timeout = us_per_s / 2;
+/// For fetching a document from one peer. Bounds the delay that an unreachable
+/// peer adds to a configuration change.
+constexpr span_us document_timeout = 300 * us_per_ms;
+/// First fetch round that reads the store when the peer of the own data centre
+/// asked in that round had no document.
+constexpr int first_store_round = 2;
+/// Of the platform's shortest time limit of 2 s for a configuration change, 1 s
+/// remains for fetching a version after its announcement.
+static_assert(first_store_round *
+                  (catch_up_interval / std::chrono::microseconds(1) +
+                   document_timeout) <=
               us_per_s);
 
-/// State of the actor.
-struct config_keeper
+struct config_actor_state
 {
     std::shared_ptr<control_context> context;
-    std::uint64_t in_force = 0; ///< version; only rises
-    version_message heard;      ///< highest; only rises
-    fetch_sources from;
-    /// Rounds of asking since a document was taken. A newer version does not
-    /// start them anew: while versions come one after the other peers have
-    /// moved on from each that is asked for, and the store was never asked.
-    int tries = 0;
-    bool poll = false;
-    bool reachable = true;           ///< the store, when it was last asked
-    std::vector<std::uint64_t> used; ///< hashes that were read
-    std::uint64_t refused = 0;       ///< hash of a document that is wrong
+    std::uint64_t in_force = 0;   ///< version; never decreases
+    version_message newest_known; ///< highest announced; never decreases
+    fetch_sources sources;
+    /// Fetch rounds since a document was applied. Not reset by newer versions:
+    /// under frequent changes peers drop each version before it is fetched, and
+    /// the store would never be read.
+    int rounds = 0;
+    bool reads_head = false;
+    bool reachable = true;
+    std::vector<std::uint64_t> referenced_hashes;
+    std::uint64_t rejected_hash = 0; ///< hash of the last invalid document
 };
 
-std::uint64_t hash_in(const std::string& name)
+std::uint64_t hash_from_name(const std::string& name)
 {
     const auto dash = name.rfind('-');
     return parse_hex(name.substr(dash + 1)).value_or(0);
 }
 
-/// An object from the cache, then peers, then the store.
-std::optional<std::string> fetch(config_keeper& k, const std::string& name)
+/// Fetches an object from the cache, from peers or from the store, in this
+/// order.
+std::optional<std::string> fetch_object(config_actor_state& k,
+                                        const std::string& name)
 {
     auto& x = *k.context;
-    const auto hash = hash_in(name);
-    k.used.push_back(hash);
+    const auto hash = hash_from_name(name);
+    k.referenced_hashes.push_back(hash);
     if (auto found = x.cache->get(hash))
         return found;
-    const auto fits = [hash](const std::optional<std::string>& s) {
+    const auto matches_hash = [hash](const std::optional<std::string>& s) {
         return s && text_hash(*s) == hash;
     };
-    for (const auto* peers : {&k.from.near, &k.from.far}) {
+    for (const auto* peers : {&k.sources.near, &k.sources.far}) {
         for (const auto& p : *peers) {
-            auto found = call_chunk(p.ip, p.rpc_port, hash, chunk_bound);
-            if (fits(found)) {
+            auto found = call_chunk(p.ip, p.rpc_port, hash, chunk_timeout);
+            if (matches_hash(found)) {
                 x.cache->put(hash, *found);
                 return found;
             }
         }
     }
     store_error last{};
-    auto found =
-        x.start.has_store ? x.start.store.get_object(name, last) : std::nullopt;
-    if (fits(found))
+    auto found = x.options.has_store ? x.options.store.get_object(name, last)
+                                     : std::nullopt;
+    if (matches_hash(found))
         x.cache->put(hash, *found);
     return found;
 }
 
-void bring_into_force(config_keeper& k, fleet_config c, std::uint64_t hash)
+void activate_config(config_actor_state& k, fleet_config c, std::uint64_t hash)
 {
     auto& x = *k.context;
     k.in_force = c.version;
-    k.tries = 0;
-    x.cache->keep_only(k.used);
+    k.rounds = 0;
+    x.cache->retain_only(k.referenced_hashes);
     x.events->set_config_version(c.version);
     x.events->write(event_id::config_in_force,
                     "version-" + std::to_string(c.version),
@@ -94,114 +96,115 @@
     for (const auto& note : c.warnings)
         x.events->write(event_id::config_unclear,
                         "version-" + std::to_string(c.version), note);
-    x.sinks.config_ready(std::make_shared<const fleet_config>(std::move(c)));
+    x.callbacks.config_ready(
+        std::make_shared<const fleet_config>(std::move(c)));
 }
 
-/// Takes a document up when it is whole, valid and newer; else what is in
-/// force stays.
-void take_document(config_keeper& k, const std::string& text)
+/// Activates a document if it is valid and newer; otherwise the configuration
+/// in force stays.
+void apply_document(config_actor_state& k, const std::string& text)
 {
     auto& x = *k.context;
     const auto hash = text_hash(text);
-    if (hash == k.refused)
+    if (hash == k.rejected_hash)
         return;
     std::string why;
-    auto c = x.start.documents.parse(text, why);
+    auto c = x.options.documents.parse(text, why);
     if (!c) {
-        k.refused = hash;
+        k.rejected_hash = hash;
         x.events->write(event_id::config_refused, "hash-" + to_hex(hash), why);
         return;
     }
     if (c->version <= k.in_force)
         return;
-    k.used = {hash};
+    k.referenced_hashes = {hash};
     x.cache->put(hash, text);
-    if (c->version > k.heard.version)
-        k.heard = {c->version, hash};
-    bring_into_force(k, std::move(*c), hash);
+    if (c->version > k.newest_known.version)
+        k.newest_known = {c->version, hash};
+    activate_config(k, std::move(*c), hash);
 }
 
-/// Takes the document that was heard of from one of some peers, another one
-/// in each round.
-bool take_from_peer(config_keeper& k, const std::vector<node_address>& peers)
+/// Fetches the newest known document from one of `peers`, a different one in
+/// each round.
+bool fetch_from_peer(config_actor_state& k,
+                     const std::vector<node_address>& peers)
 {
     if (peers.empty())
         return false;
-    const auto hash = k.heard.manifest;
-    const auto& p = peers[static_cast<std::size_t>(k.tries) % peers.size()];
-    const auto text = call_chunk(p.ip, p.rpc_port, hash, document_bound);
+    const auto hash = k.newest_known.manifest;
+    const auto& p = peers[static_cast<std::size_t>(k.rounds) % peers.size()];
+    const auto text = call_chunk(p.ip, p.rpc_port, hash, document_timeout);
     if (!text || text_hash(*text) != hash)
         return false;
-    take_document(k, *text);
+    apply_document(k, *text);
     return true;
 }
 
-/// Fetches a document that was heard of: from a near peer, which costs nothing,
-/// then from the store, which may be out or cut off from this node, then from
-/// far peers.
-void catch_up_document(config_keeper& k)
+/// Fetches the newest known document: from a peer in the own data centre, else
+/// from the store, else from a peer in another data centre.
+void fetch_document(config_actor_state& k)
 {
     auto& x = *k.context;
-    ++k.tries;
-    if (take_from_peer(k, k.from.near) || k.tries < store_after)
+    ++k.rounds;
+    if (fetch_from_peer(k, k.sources.near) || k.rounds < first_store_round)
         return;
     store_error last{};
-    const auto row = x.start.has_store
-                         ? x.start.store.read_row(x.start.documents.at, last)
-                         : std::nullopt;
+    const auto row =
+        x.options.has_store
+            ? x.options.store.read_row(x.options.documents.at, last)
+            : std::nullopt;
     if (row)
-        return take_document(k, row->value);
-    if (!take_from_peer(k, k.from.far)) {
+        return apply_document(k, row->value);
+    if (!fetch_from_peer(k, k.sources.far)) {
         x.events->write(event_id::config_fetch_failed,
-                        "version-" + std::to_string(k.heard.version),
-                        "tries=" + std::to_string(k.tries) + " store=" +
+                        "version-" + std::to_string(k.newest_known.version),
+                        "tries=" + std::to_string(k.rounds) + " store=" +
                             std::string(name_of(store_error_names, last)));
     }
 }
 
-/// Brings the highest version that was heard of into force.
-void catch_up(config_keeper& k)
+void fetch_newest(config_actor_state& k)
 {
-    if (k.heard.version <= k.in_force)
+    if (k.newest_known.version <= k.in_force)
         return;
     auto& x = *k.context;
-    if (x.start.documents.parse) {
-        if (k.heard.manifest != k.refused)
-            catch_up_document(k);
+    if (x.options.documents.parse) {
+        if (k.newest_known.manifest != k.rejected_hash)
+            fetch_document(k);
         return;
     }
-    const auto version = k.heard.version;
+    const auto version = k.newest_known.version;
     const auto subject = "version-" + std::to_string(version);
     std::string why;
-    k.used.clear();
+    k.referenced_hashes.clear();
     const auto files = load_files(
-        k.heard.manifest,
-        [&](const std::string& name) { return fetch(k, name); }, why);
+        k.newest_known.manifest,
+        [&](const std::string& name) { return fetch_object(k, name); }, why);
     if (!files) {
         x.events->write(event_id::config_fetch_failed, subject, why);
         return;
     }
     config_error wrong;
-    auto c = build_config(*files, x.start.settings.centre, version, wrong);
+    auto c = build_config(*files, x.options.settings.centre, version, wrong);
     if (!c) {
         x.events->write(event_id::config_refused, subject, wrong.text());
         return;
     }
-    bring_into_force(k, std::move(*c), k.heard.manifest);
+    activate_config(k, std::move(*c), k.newest_known.manifest);
 }
 
-/// Reads the head row. Two that do so at once are harmless: both learn the
-/// same, and a version is only ever taken up when it is higher.
-void poll_head(caf::event_based_actor* self, config_keeper& k,
+/// Reads the head row. Concurrent readers are harmless, as a version is only
+/// replaced by a higher one.
+void poll_head(caf::event_based_actor* self, config_actor_state& k,
                const caf::actor& members)
 {
     store_error last{};
-    const auto head = read_head(k.context->start.store, last);
-    note_store(*k.context, k.reachable, head.has_value(), "");
-    if (!head || head->version <= k.heard.version)
+    const auto head = read_head(k.context->options.store, last);
+    record_store_state(*k.context, k.reachable, head.has_value(), "");
+    if (!head || head->version <= k.newest_known.version)
         return;
-    k.heard = {head->version, head->manifest};
-    self->send(members, k.heard);
+    k.newest_known = {head->version, head->manifest};
+    self->send(members, k.newest_known);
 }
 
 } // namespace
@@ -210,41 +213,43 @@
                            std::shared_ptr<control_context> context,
                            caf::actor members)
 {
-    auto k = std::make_shared<config_keeper>();
+    auto k = std::make_shared<config_actor_state>();
     k->context = context;
-    const bool documents = static_cast<bool>(context->start.documents.parse);
+    const bool documents = static_cast<bool>(context->options.documents.parse);
     self->send(self, tick_atom::value);
     return {
         [=](const document_message& m) {
-            const auto before = k->heard.version;
-            take_document(*k, m.text);
-            if (k->heard.version > before)
-                self->send(members, k->heard);
+            const auto before = k->newest_known.version;
+            apply_document(*k, m.text);
+            if (k->newest_known.version > before)
+                self->send(members, k->newest_known);
         },
         [=](const read_until_message& m) {
-            // All documents up to that moment were taken or refused: an unfit
-            // one leaves the former in force, and that is the newest fit one.
+            // Every document up to that time was applied or rejected, so the
+            // version in force is the newest valid one.
             if (k->in_force != 0)
                 self->send(members, proof_message{{k->in_force, m.at}});
         },
         [=](tick_atom) {
-            const bool due = k->poll || k->in_force == 0;
-            if (due && !documents && context->start.has_store)
+            const bool due = k->reads_head || k->in_force == 0;
+            if (due && !documents && context->options.has_store)
                 poll_head(self, *k, members);
-            catch_up(*k);
-            self->delayed_send(self, documents ? catch_up_every : poll_every,
+            fetch_newest(*k);
+            self->delayed_send(self,
+                               documents ? catch_up_interval : poll_interval,
                                tick_atom::value);
         },
         [=](const version_message& m) {
-            if (m.version > k->heard.version)
-                k->heard = m;
-            // Nobody near has a document yet that was heard of just now.
+            if (m.version > k->newest_known.version)
+                k->newest_known = m;
+            // Documents are left to the next tick: no peer has a document yet
+            // that was announced just now.
             if (!documents)
-                catch_up(*k);
+                fetch_newest(*k);
         },
-        [=](const peers_message& m) {
-            k->poll = m.poll;
-            k->from = m.from;
+        [=](const config_peers_message& m) {
+            k->reads_head = m.reads_head;
+            k->sources = m.sources;
         },
     };
 }
--- a/src/node/config_cache.cpp
+++ b/src/node/config_cache.cpp
@@ -1,4 +1,4 @@
-// Objects of the configuration; see config_cache.hpp.
+// Cache of configuration objects; see config_cache.hpp.
 #include "node/config_cache.hpp"
 
 namespace jasminetray {
@@ -18,7 +18,7 @@
     objects_[hash] = std::move(content);
 }
 
-void config_cache::keep_only(const std::vector<std::uint64_t>& hashes)
+void config_cache::retain_only(const std::vector<std::uint64_t>& hashes)
 {
     const std::lock_guard lock(mutex_);
     std::unordered_map<std::uint64_t, std::string> kept;
--- a/src/node/config_cache.hpp
+++ b/src/node/config_cache.hpp
@@ -1,5 +1,4 @@
-// Objects of the configuration that this node has, by the hash of their
-// content. Peers fetch from here; only what is in force is kept.
+// Cache of configuration objects, from which this node also serves peers.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +10,16 @@
 
 namespace jasminetray {
 
-/// Content-addressed objects. Safe to use from several threads.
+/// Keeps objects by the hash of their content. Thread-safe.
 class config_cache
 {
 public:
-    /// Object of a hash, or nothing.
     std::optional<std::string> get(std::uint64_t hash) const;
 
-    /// Keeps an object.
     void put(std::uint64_t hash, std::string content);
 
-    /// Drops all but these.
-    void keep_only(const std::vector<std::uint64_t>& hashes);
+    /// Removes all objects except those with the given hashes.
+    void retain_only(const std::vector<std::uint64_t>& hashes);
 
 private:
     mutable std::mutex mutex_;
--- a/src/node/control.hpp
+++ b/src/node/control.hpp
@@ -1,6 +1,5 @@
-// The slow state of a node, owned by CAF actors: one keeps membership, one
-// the configuration. They hear from the request thread by messages and post
-// their news to it; neither side ever waits for the other.
+// CAF actors that keep membership and the configuration. They exchange messages
+// with the request thread, and neither side waits for the other.
 #pragma once
 
 #include "config/config_document.hpp"
@@ -17,7 +16,7 @@
 
 namespace jasminetray {
 
-/// One node's news for the request thread.
+/// A change of another node, for the request thread.
 struct member_update
 {
     node_record record;
@@ -25,26 +24,27 @@
     bool removed = false;
 };
 
-/// What the actors call. All may be called from any thread.
-struct control_sinks
+/// Callbacks of the actors, which call them from any thread.
+struct control_callbacks
 {
     std::function<void(std::string bytes, std::uint32_t ip, std::uint16_t port)>
         send_datagram;
     std::function<void(std::vector<member_update>)> members_changed;
     std::function<void(std::shared_ptr<const fleet_config>)> config_ready;
-    std::function<void(const freshness_proof&, const store_clock&)> proof_heard;
-    std::function<void(bool reachable)> store_state;
+    std::function<void(const freshness_proof&, const store_clock&)>
+        proof_updated;
+    std::function<void(bool reachable)> store_state_changed;
     std::function<void(std::uint32_t ip, std::uint16_t port, baseline_query,
                        bool answer)>
-        usual;
-    std::function<void(std::vector<load_report>)> loads;
-    /// From another node, which `from` names by its gossip address alone.
-    std::function<void(const node_address& from, quarantine_message)> crashes;
-    std::function<void(wire_error, std::size_t bytes)> datagram_counted;
+        baseline_received;
+    std::function<void(std::vector<load_report>)> loads_received;
+    /// Only the gossip address of `from` is set.
+    std::function<void(const node_address& from, quarantine_message)>
+        quarantine_received;
+    std::function<void(wire_error, std::size_t bytes)> datagram_received;
 };
 
-/// Everything that the actors start from.
-struct control_start
+struct control_options
 {
     node_settings settings;
     node_record self;
@@ -52,45 +52,44 @@
     cluster_keys keys;
     store_api store;
     bool has_store = false;
-    /// Where a hosted node's configuration stands; the product's own files
-    /// are read when it has no parser.
+    /// Source of a hosted node's configuration. Without a parser the node reads
+    /// the project's own configuration files.
     document_source documents;
-    std::uint64_t seed = 1; ///< of the actors' random numbers
+    std::uint64_t seed = 1;
 };
 
-/// The running actors. Stops them when destroyed.
+/// Owns the running actors and stops them when destroyed.
 class control
 {
 public:
-    control(control_start start, control_sinks sinks, event_log& events,
-            config_cache& cache);
+    control(control_options options, control_callbacks callbacks,
+            event_log& events, config_cache& cache);
     ~control();
     control(const control&) = delete;
     control& operator=(const control&) = delete;
 
-    /// A datagram came in.
-    void take_datagram(std::string bytes, std::uint32_t ip, std::uint16_t port);
+    void handle_datagram(std::string bytes, std::uint32_t ip,
+                         std::uint16_t port);
 
-    /// The node's own record changed.
     void update_self(node_record r);
 
-    /// Sends each message to each of some nodes.
+    /// Sends each message to every node in `to`.
     void send_quarantine_messages(std::vector<node_address> to,
                                   std::vector<quarantine_message> messages);
 
-    /// Tells the nodes of the own data centre how its backend servers stand.
+    /// Sends load reports to the nodes of the own data centre.
     void send_load_reports(std::vector<load_report> loads);
 
-    /// The node stops: takes its row out of the store.
+    /// Removes the node's row from the store, when the node stops.
     void leave();
 
-    /// Sends a question about a service, or an answer to one.
+    /// Sends a baseline query, or a response to one.
     void send_baseline_message(std::uint32_t ip, std::uint16_t port,
                                baseline_query q, bool answer);
 
 private:
-    struct running;
-    std::unique_ptr<running> running_;
+    struct actor_set;
+    std::unique_ptr<actor_set> actors_;
 };
 
 } // namespace jasminetray
--- a/src/node/feed_actor.cpp
+++ b/src/node/feed_actor.cpp
@@ -1,6 +1,6 @@
-// The actor that follows the configuration document in the store, at those
-// nodes that read it for their data centre. It blocks on the store's feed of
-// changes, so it has a thread of its own.
+// Actor that follows the configuration document in the store, at the nodes that
+// read it for their data centre. It blocks in long polls of the store's change
+// feed.
 #include "base/random_func.hpp"
 #include "node/control_type.hpp"
 
@@ -10,48 +10,48 @@
 
 namespace {
 
-/// Longest wait on the feed. Connections may go silent without a reset; each
-/// reader waits for another length, so that of the six in three data centres
-/// some one asks anew every 0.5 s and tells the others.
+/// Range of long poll timeouts. A connection may fail without a reset, so
+/// readers poll again at random times, and one of them notices a change soon
+/// and announces it to the others.
 constexpr span_us min_wait = 2 * us_per_s;
 constexpr span_us max_wait = 4 * us_per_s;
-/// The same where keys that are taken away must stop working within a bound:
-/// each answer proves that nothing was changed before it. By this and the time
-/// that passing on takes, worked out, a proof is 2.7 s old at the worst, of the
-/// 4 s that a bound of 5 s leaves; beyond, callers are refused.
+/// The same where revoked keys must stop working within a time limit. Each
+/// response proves that the configuration was current, and callers are refused
+/// when the newest proof is too old. With these timeouts and the delay of
+/// gossip a proof is by calculation at most 2.7 s old, within the 4 s that a
+/// limit of 5 s allows.
 constexpr span_us min_proof_wait = 800 * us_per_ms;
 constexpr span_us max_proof_wait = 1200 * us_per_ms;
 
-/// State of the actor.
-struct feed_reader
+struct feed_actor_state
 {
     std::shared_ptr<control_context> context;
     random_state rng;
-    std::optional<std::uint64_t> position; ///< read up to here
+    std::optional<std::uint64_t> position; ///< last store version read
     bool reachable = true;
-    bool following = true; ///< as membership wants it
-    bool ranked = true;    ///< one that the others rely on
-    bool waiting = true;   ///< for its next tick
-    span_us pause = 0;     ///< before the next call
+    bool following = true;
+    bool ranked = true;
+    bool tick_pending = true;
+    span_us backoff = 0; ///< before the next call; 0 after a success
 };
 
-/// The next rows: all of them at first and when history is gone, changes
-/// else.
-std::optional<row_list> read_rows(feed_reader& k, store_error& last)
+/// Returns changed rows, or all rows on the first call and after the store has
+/// dropped the change history.
+std::optional<row_list> read_rows(feed_actor_state& k, store_error& last)
 {
-    const auto& store = k.context->start.store;
-    const auto& table = k.context->start.documents.at.table;
+    const auto& store = k.context->options.store;
+    const auto& table = k.context->options.documents.at.table;
     if (!k.position)
         return store.list_rows(table, last);
-    const bool prove = k.context->start.settings.hosted.revocation_bound > 0;
-    const auto least = prove ? min_proof_wait : min_wait;
-    const auto span = (prove ? max_proof_wait : max_wait) - least;
-    const auto wait = least + static_cast<span_us>(random_below(
-                                  k.rng, static_cast<std::uint64_t>(span)));
+    const bool prove = k.context->options.settings.hosted.revocation_bound > 0;
+    const auto shortest = prove ? min_proof_wait : min_wait;
+    const auto span = (prove ? max_proof_wait : max_wait) - shortest;
+    const auto wait = shortest + static_cast<span_us>(random_below(
+                                     k.rng, static_cast<std::uint64_t>(span)));
     return store.watch_rows(table, *k.position, wait, last);
 }
 
-void read_next(caf::event_based_actor* self, feed_reader& k,
+void read_next(caf::event_based_actor* self, feed_actor_state& k,
                const caf::actor& config, const caf::actor& members)
 {
     store_error last{};
@@ -61,33 +61,35 @@
         k.position.reset();
         return;
     }
-    note_store(*k.context, k.reachable, found.has_value(),
-               "error=" + std::string(name_of(store_error_names, last)));
+    record_store_state(*k.context, k.reachable, found.has_value(),
+                       "error=" +
+                           std::string(name_of(store_error_names, last)));
     if (!found) {
-        k.pause = reader_backoff(k.pause, k.ranked);
+        k.backoff = reader_backoff(k.backoff, k.ranked);
         return;
     }
-    k.pause = 0;
+    k.backoff = 0;
     k.position = std::max(found->version, k.position.value_or(0));
     for (const auto& r : found->rows) {
-        if (r.key == k.context->start.documents.at.key && !r.removed)
+        if (r.key == k.context->options.documents.at.key && !r.removed)
             self->send(config, document_message{r.row.value});
     }
     if (found->store_time &&
-        k.context->start.settings.hosted.revocation_bound > 0) {
+        k.context->options.settings.hosted.revocation_bound > 0) {
         self->send(members, store_time_message{*found->store_time, sent});
         self->send(config, read_until_message{*found->store_time});
     }
 }
 
-void tick_later(caf::event_based_actor* self, feed_reader& k)
+void schedule_tick(caf::event_based_actor* self, feed_actor_state& k)
 {
-    // Spread, so that nodes that failed together do not return together.
+    // Jitter keeps nodes that failed together from retrying together.
     const auto jitter =
-        k.pause == 0 ? 0
-                     : random_below(k.rng, static_cast<std::uint64_t>(k.pause));
-    const auto pause = k.pause / 2 + static_cast<span_us>(jitter);
-    k.waiting = true;
+        k.backoff == 0
+            ? 0
+            : random_below(k.rng, static_cast<std::uint64_t>(k.backoff));
+    const auto pause = k.backoff / 2 + static_cast<span_us>(jitter);
+    k.tick_pending = true;
     self->delayed_send(self, std::chrono::microseconds(pause),
                        tick_atom::value);
 }
@@ -98,25 +100,25 @@
                          std::shared_ptr<control_context> context,
                          caf::actor config, caf::actor members)
 {
-    auto k = std::make_shared<feed_reader>();
+    auto k = std::make_shared<feed_actor_state>();
     k->context = std::move(context);
-    k->rng.value = k->context->start.seed + 1;
+    k->rng.value = k->context->options.seed + 1;
     self->send(self, tick_atom::value);
     return {
         [=](tick_atom) {
-            k->waiting = false;
+            k->tick_pending = false;
             if (!k->following)
                 return;
             read_next(self, *k, config, members);
-            tick_later(self, *k);
+            schedule_tick(self, *k);
         },
         [=](const follow_message& m) {
             k->following = m.on;
             k->ranked = m.ranked;
             if (!m.on)
                 k->context->follows_store = false;
-            if (m.on && !k->waiting)
-                tick_later(self, *k);
+            if (m.on && !k->tick_pending)
+                schedule_tick(self, *k);
         },
     };
 }
--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_news.cpp
@@ -1,4 +1,4 @@
-// Taking news up; see fleet_news.hpp.
+// Application of membership and configuration changes; see fleet_update.hpp.
 #include "node/fleet_news.hpp"
 
 #include "base/text_func.hpp"
@@ -11,26 +11,27 @@
 
 namespace {
 
-/// Log lines for what changed at another node's backend servers.
-void log_workers(node_state& n, const node_record& r)
+/// Logs new and draining backend servers of another node.
+void log_worker_changes(node_state& n, const node_record& r)
 {
     const auto it = n.view.nodes.find(r.id);
     for (const auto& w : r.workers) {
-        const auto* former = it == n.view.nodes.end()
-                                 ? nullptr
-                                 : find_worker(it->second.record, w.id);
+        const auto* previous = it == n.view.nodes.end()
+                                   ? nullptr
+                                   : find_worker(it->second.record, w.id);
         const auto subject = to_hex(static_cast<std::uint64_t>(w.id));
-        if (former == nullptr)
+        if (previous == nullptr)
             n.events.write(event_id::worker_announced, subject,
                            "node=" + r.name);
-        if (w.draining && (former == nullptr || !former->draining))
+        if (w.draining && (previous == nullptr || !previous->draining))
             n.events.write(event_id::worker_draining, subject,
                            "node=" + r.name);
     }
 }
 
-/// Nodes that several others, in different data centres, cannot reach.
-std::vector<node_id> find_doubted(const node_state& n)
+/// Returns the nodes that several others, in different data centres, report as
+/// unreachable.
+std::vector<node_id> find_suspected_nodes(const node_state& n)
 {
     std::vector<path_complaint> complaints;
     for (const auto& [id, v] : n.view.nodes) {
@@ -42,27 +43,28 @@
     return suspected_exit_nodes(complaints, n.path_settings);
 }
 
-/// Notes who is doubted; true when that changed.
-bool take_doubted(node_state& n)
+/// Updates the set of suspected nodes; returns whether it changed.
+bool update_suspected_nodes(node_state& n)
 {
-    auto doubted = find_doubted(n);
-    for (const auto id : doubted) {
+    auto suspected = find_suspected_nodes(n);
+    for (const auto id : suspected) {
         const auto& before = n.view.suspected_nodes;
         if (std::find(before.begin(), before.end(), id) == before.end())
             n.events.write(event_id::node_doubted,
                            to_hex(static_cast<std::uint64_t>(id)), "");
     }
-    const bool changed = doubted != n.view.suspected_nodes;
-    n.view.suspected_nodes = std::move(doubted);
+    const bool changed = suspected != n.view.suspected_nodes;
+    n.view.suspected_nodes = std::move(suspected);
     return changed;
 }
 
 } // namespace
 
-void apply_member_updates(node_state& n, const std::vector<member_update>& news)
+void apply_member_updates(node_state& n,
+                          const std::vector<member_update>& updates)
 {
     const auto now = mono_now();
-    for (const auto& x : news) {
+    for (const auto& x : updates) {
         if (x.removed) {
             view_remove(n.view, x.record.id, now);
             continue;
@@ -73,23 +75,23 @@
                 (x.state == liveness::dead) ||
             it->second.record.leaving != x.record.leaving)
             n.members_changed_at = now;
-        log_workers(n, x.record);
+        log_worker_changes(n, x.record);
         view_update(n.view, x.record, x.state, now);
     }
     n.max_nodes = std::max(n.max_nodes, n.view.nodes.size());
-    if (take_doubted(n))
-        return apply_all_claims(n);
+    if (update_suspected_nodes(n))
+        return apply_all_ejections(n);
     std::vector<service_id> services;
-    for (const auto& x : news) {
+    for (const auto& x : updates) {
         for (const auto& w : x.record.workers)
             services.push_back(w.service);
     }
-    apply_claims_of(n, services);
+    apply_service_ejections(n, services);
 }
 
 void apply_config(node_state& n, std::shared_ptr<const fleet_config> c)
 {
-    // Never back: a slower fetch of an older version may end later.
+    // A slow fetch of an older version may finish after a newer one.
     if (n.config && c->version <= n.config->version)
         return;
     n.config = std::move(c);
@@ -101,7 +103,7 @@
     for (std::size_t k = 0; k < n.config->services.size(); ++k)
         n.service_positions[service_of(n.config->services[k].name)] = k;
     refresh_ejection_policies(n);
-    apply_all_claims(n);
+    apply_all_ejections(n);
 }
 
 } // namespace jasminetray
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -1,5 +1,5 @@
-// The actor that keeps membership: datagrams in, datagrams out, and news of
-// other nodes for the request thread.
+// Actor that keeps membership: processes and sends datagrams, and reports
+// changes of other nodes to the request thread.
 #include "base/text_func.hpp"
 #include "member/member_cmd.hpp"
 #include "member/member_query.hpp"
@@ -11,34 +11,33 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds tick_every(50);
-constexpr int peers_every = 10;      // ticks
-constexpr std::size_t max_told = 32; // nodes, of a change of load
+constexpr std::chrono::milliseconds tick_interval(50);
+constexpr int ticks_per_peer_update = 10;
+constexpr std::size_t max_load_recipients = 32;
 
-/// State of the actor.
-struct member_keeper
+struct member_actor_state
 {
     std::shared_ptr<control_context> context;
     member_table table;
     random_state rng;
-    caf::actor config;     ///< told about versions and peers
-    caf::actor feed;       ///< told whether to follow the store; may be none
-    bool following = true; ///< what it was told last
-    bool ranked = true;    ///< the same
+    caf::actor config;
+    caf::actor feed;       ///< null without a document source
+    bool following = true; ///< as last sent to `feed`
+    bool ranked = true;    ///< as last sent to `feed`
     int ticks = 0;
-    freshness_proof proof_told; ///< to the request thread, last
-    store_clock clock_told;     ///< the same
+    freshness_proof published_proof; ///< as last reported
+    store_clock published_clock;     ///< as last reported
 };
 
-void send_all(member_keeper& k, const std::vector<outgoing>& out)
+void send_all(member_actor_state& k, const std::vector<outgoing>& out)
 {
     for (const auto& o : out) {
-        k.context->sinks.send_datagram(
-            encode_message(o.message, k.context->start.keys), o.ip, o.port);
+        k.context->callbacks.send_datagram(
+            encode_message(o.message, k.context->options.keys), o.ip, o.port);
     }
 }
 
-void log_change(member_keeper& k, const member_change& c,
+void log_change(member_actor_state& k, const member_change& c,
                 const std::string& name)
 {
     auto& events = *k.context->events;
@@ -64,20 +63,20 @@
     }
 }
 
-void tell_version(caf::event_based_actor* self, member_keeper& k)
+void send_version(caf::event_based_actor* self, member_actor_state& k)
 {
     if (k.config)
         self->send(k.config, version_message{k.table.config_version,
                                              k.table.config_hash});
 }
 
-void pass_changes(caf::event_based_actor* self, member_keeper& k)
+void publish_changes(caf::event_based_actor* self, member_actor_state& k)
 {
-    std::vector<member_update> news;
-    std::set<node_id> told;
+    std::vector<member_update> updates;
+    std::set<node_id> reported;
     for (const auto& c : member_take_changes(k.table)) {
         if (c.kind == member_change_kind::config) {
-            tell_version(self, k);
+            send_version(self, k);
             continue;
         }
         const auto it = k.table.members.find(c.about);
@@ -85,7 +84,7 @@
             log_change(k, c, to_hex(static_cast<std::uint64_t>(c.about)));
             node_record gone;
             gone.id = c.about;
-            news.push_back({gone, liveness::dead, true});
+            updates.push_back({gone, liveness::dead, true});
             continue;
         }
         if (it == k.table.members.end()) {
@@ -93,23 +92,23 @@
             continue;
         }
         log_change(k, c, it->second.record.name);
-        if (told.insert(c.about).second)
-            news.push_back({it->second.record, it->second.state, false});
+        if (reported.insert(c.about).second)
+            updates.push_back({it->second.record, it->second.state, false});
     }
-    if (!news.empty())
-        k.context->sinks.members_changed(std::move(news));
+    if (!updates.empty())
+        k.context->callbacks.members_changed(std::move(updates));
 }
 
-void tell_peers(caf::event_based_actor* self, member_keeper& k)
+void send_config_peers(caf::event_based_actor* self, member_actor_state& k)
 {
-    peers_message m;
-    m.poll = should_read_store(k.table, mono_now());
-    m.from = fetch_peers(k.table, k.rng);
+    config_peers_message m;
+    m.reads_head = should_read_store(k.table, mono_now());
+    m.sources = fetch_peers(k.table, k.rng);
     if (k.config)
         self->send(k.config, std::move(m));
 }
 
-void tell_feed(caf::event_based_actor* self, member_keeper& k)
+void update_feed(caf::event_based_actor* self, member_actor_state& k)
 {
     const bool on = should_read_store(k.table, mono_now());
     const bool ranked = is_ranked_reader(k.table, k.table.self.id);
@@ -120,70 +119,75 @@
     k.table.reads_store = on && k.context->follows_store;
 }
 
-/// Hands proofs of freshness to the request thread as they come.
-void tell_proof(member_keeper& k)
+/// Reports a new freshness proof or store clock to the request thread.
+void publish_proof(member_actor_state& k)
 {
     const auto& t = k.table;
-    if (t.proof.at == k.proof_told.at && t.clock.offset == k.clock_told.offset)
+    if (t.proof.at == k.published_proof.at &&
+        t.clock.offset == k.published_clock.offset)
         return;
-    k.proof_told = t.proof;
-    k.clock_told = t.clock;
-    k.context->sinks.proof_heard(t.proof, t.clock);
+    k.published_proof = t.proof;
+    k.published_clock = t.clock;
+    k.context->callbacks.proof_updated(t.proof, t.clock);
 }
 
-/// Notes how long the VM was suspended, as far as its clocks show.
-void note_suspension(member_keeper& k)
+/// Updates the total time for which the VM was suspended.
+void update_suspension(member_actor_state& k)
 {
     k.table.suspended = uptime_now() - mono_now();
 }
 
-void take_datagram(member_keeper& k, const datagram_message& d)
+void handle_datagram(member_actor_state& k, const datagram_message& d)
 {
     wire_error last{};
-    const auto m = decode_message(d.bytes, k.context->start.keys, last);
-    k.context->sinks.datagram_counted(last, d.bytes.size());
+    const auto m = decode_message(d.bytes, k.context->options.keys, last);
+    k.context->callbacks.datagram_received(last, d.bytes.size());
     if (!m)
         return;
     if (m->kind == gossip_kind::baseline_request ||
         m->kind == gossip_kind::baseline_response) {
-        k.context->sinks.usual(d.ip, d.port, m->baseline,
-                               m->kind == gossip_kind::baseline_response);
+        k.context->callbacks.baseline_received(
+            d.ip, d.port, m->baseline,
+            m->kind == gossip_kind::baseline_response);
     }
     if (!m->loads.empty())
-        k.context->sinks.loads(m->loads);
+        k.context->callbacks.loads_received(m->loads);
     if (m->kind == gossip_kind::quarantine)
-        k.context->sinks.crashes(node_address{d.ip, d.port}, m->quarantine);
+        k.context->callbacks.quarantine_received(node_address{d.ip, d.port},
+                                                 m->quarantine);
     send_all(k, member_receive(k.table, *m, d.ip, d.port, k.rng, mono_now()));
 }
 
-/// Only the own data centre is told: there it costs no more than a small
-/// datagram to each, and placing by what was said a second ago leaves slots
-/// empty next to full queues.
-void send_load_reports(member_keeper& k, const std::vector<load_report>& loads)
+/// Sends load reports to nodes of the own data centre, where a small datagram
+/// per node is cheap. Outdated loads would leave slots empty while other queues
+/// are full.
+void send_load_reports(member_actor_state& k,
+                       const std::vector<load_report>& loads)
 {
     auto m = make_message(k.table, gossip_kind::load);
     m.loads = loads;
-    const auto bytes = encode_message(m, k.context->start.keys);
+    const auto bytes = encode_message(m, k.context->options.keys);
     const auto near = random_sample(alive_members(k.table, k.table.self.centre),
-                                    max_told, k.rng);
+                                    max_load_recipients, k.rng);
     for (const auto* to : near) {
-        k.context->sinks.send_datagram(bytes, to->record.address.ip,
-                                       to->record.address.gossip_port);
+        k.context->callbacks.send_datagram(bytes, to->record.address.ip,
+                                           to->record.address.gossip_port);
     }
 }
 
-void send_quarantine_messages(member_keeper& k, const crashes_message& c)
+void send_quarantine_messages(member_actor_state& k,
+                              const quarantine_messages& c)
 {
     auto m = make_message(k.table, gossip_kind::quarantine);
     for (const auto& q : c.messages) {
         m.quarantine = q;
-        const auto bytes = encode_message(m, k.context->start.keys);
+        const auto bytes = encode_message(m, k.context->options.keys);
         for (const auto& to : c.to)
-            k.context->sinks.send_datagram(bytes, to.ip, to.gossip_port);
+            k.context->callbacks.send_datagram(bytes, to.ip, to.gossip_port);
     }
 }
 
-void send_baseline_message(member_keeper& k, const usual_message& u)
+void send_baseline_message(member_actor_state& k, const baseline_message& u)
 {
     auto m = make_message(k.table, u.answer ? gossip_kind::baseline_response
                                             : gossip_kind::baseline_request);
@@ -196,43 +200,45 @@
 caf::behavior member_actor(caf::event_based_actor* self,
                            std::shared_ptr<control_context> context)
 {
-    auto k = std::make_shared<member_keeper>();
+    auto k = std::make_shared<member_actor_state>();
     k->context = context;
-    k->rng.value = context->start.seed;
-    k->table = make_member_table(context->start.self, context->start.seeds,
+    k->rng.value = context->options.seed;
+    k->table = make_member_table(context->options.self, context->options.seeds,
                                  member_policy{});
     self->send(self, tick_atom::value);
     return {
         [=](tick_atom) {
-            note_suspension(*k);
-            tell_feed(self, *k);
+            update_suspension(*k);
+            update_feed(self, *k);
             send_all(*k, member_tick(k->table, k->rng, mono_now()));
-            pass_changes(self, *k);
-            tell_proof(*k);
-            if (++k->ticks % peers_every == 1)
-                tell_peers(self, *k);
-            self->delayed_send(self, tick_every, tick_atom::value);
+            publish_changes(self, *k);
+            publish_proof(*k);
+            if (++k->ticks % ticks_per_peer_update == 1)
+                send_config_peers(self, *k);
+            self->delayed_send(self, tick_interval, tick_atom::value);
         },
         [=](const datagram_message& d) {
-            note_suspension(*k);
-            take_datagram(*k, d);
-            pass_changes(self, *k);
-            tell_proof(*k);
+            update_suspension(*k);
+            handle_datagram(*k, d);
+            publish_changes(self, *k);
+            publish_proof(*k);
         },
-        [=](const self_message& m) { member_update_self(k->table, m.record); },
-        [=](const usual_message& m) { send_baseline_message(*k, m); },
+        [=](const self_record_message& m) {
+            member_update_self(k->table, m.record);
+        },
+        [=](const baseline_message& m) { send_baseline_message(*k, m); },
         [=](const loads_message& m) { send_load_reports(*k, m.loads); },
-        [=](const crashes_message& m) { send_quarantine_messages(*k, m); },
+        [=](const quarantine_messages& m) { send_quarantine_messages(*k, m); },
         [=](const version_message& m) {
             member_observe_config(k->table, m.version, m.manifest);
-            pass_changes(self, *k);
+            publish_changes(self, *k);
         },
         [=](const store_time_message& m) {
-            update_store_clock(k->table.clock, m.said, m.sent);
+            update_store_clock(k->table.clock, m.store_time, m.sent);
         },
         [=](const proof_message& m) {
             member_observe_proof(k->table, m.proof);
-            tell_proof(*k);
+            publish_proof(*k);
         },
         [=](const contacts_message& m) {
             send_all(*k, member_add_contacts(k->table, m.nodes, k->rng));
--- a/src/node/node_main.cpp
+++ b/src/node/node_main.cpp
@@ -1,5 +1,5 @@
-// jasminetray-node: the one small process on each backend server VM. Exit
-// codes: 0 stopped as asked, 2 bad settings or flags, 3 could not listen.
+// Main program of jasminetray-node, the process on each backend server VM. Exit
+// codes: 0 stopped, 2 bad settings or flags, 3 could not listen.
 #include "base/text_func.hpp"
 #include "config/node_settings.hpp"
 #include "node/node_run.hpp"
@@ -11,11 +11,12 @@
 #include <sodium.h>
 
 DEFINE_string(settings, "", "INI file with this node's settings");
-DEFINE_string(set, "",
-              "settings that override the file, as section.key=value with "
-              "semicolons between them");
+DEFINE_string(
+    set, "",
+    "settings that override the file: section.key=value, separated by "
+    "semicolons");
 DEFINE_string(safeguards_off, "",
-              "test hook: safeguards to turn off, with commas; never in "
+              "test hook: comma-separated safeguards to turn off; never in "
               "production");
 DEFINE_bool(print_settings, false, "print the settings reference and exit");
 
@@ -23,9 +24,10 @@
 
 namespace {
 
-constexpr int exit_settings = 2;
+constexpr int exit_bad_settings = 2;
 
-bool apply_flag(node_settings& s, const std::string& text, config_error& last)
+bool apply_override(node_settings& s, const std::string& text,
+                    config_error& last)
 {
     const auto equals = text.find('=');
     const auto dot = text.find('.');
@@ -45,7 +47,7 @@
     return false;
 }
 
-std::optional<node_settings> load(config_error& last)
+std::optional<node_settings> load_settings(config_error& last)
 {
     auto s = FLAGS_settings.empty()
                  ? std::optional<node_settings>(node_settings{})
@@ -53,7 +55,7 @@
     if (!s)
         return std::nullopt;
     for (const auto& text : split(FLAGS_set, ';')) {
-        if (!apply_flag(*s, text, last))
+        if (!apply_override(*s, text, last))
             return std::nullopt;
     }
     s->safeguards_off = FLAGS_safeguards_off;
@@ -83,10 +85,10 @@
     if (sodium_init() < 0)
         return 1;
     jasminetray::config_error last;
-    const auto s = jasminetray::load(last);
+    const auto s = jasminetray::load_settings(last);
     if (!s) {
         std::cerr << last.text() << "\n";
-        return jasminetray::exit_settings;
+        return jasminetray::exit_bad_settings;
     }
     return jasminetray::run_node(*s);
 }
--- a/src/node/node_metrics.cpp
+++ b/src/node/node_metrics.cpp
@@ -1,4 +1,4 @@
-// Registering and printing of metrics; see node_metrics.hpp.
+// Registration and output of metrics; see node_metrics.hpp.
 #include "node/node_metrics.hpp"
 
 #include <prometheus/text_serializer.h>
@@ -33,8 +33,8 @@
                           "Attempts at exit nodes by result.");
     m->gate = counter(r, "jasminetray_gate_decisions_total",
                       "Work at this node's gate by decision.");
-    m->verdicts = counter(r, "jasminetray_verdicts_total",
-                          "Verdicts on backend servers by step.");
+    m->ejection_steps = counter(r, "jasminetray_verdicts_total",
+                                "Verdicts on backend servers by step.");
     m->datagrams = counter(r, "jasminetray_datagrams_total",
                            "Datagrams received by fate.");
     m->check_ins = counter(r, "jasminetray_check_ins_total",
@@ -81,8 +81,8 @@
     return m;
 }
 
-void count(prometheus::Family<prometheus::Counter>& family,
-           const std::string& label, const std::string& value)
+void increment_counter(prometheus::Family<prometheus::Counter>& family,
+                       const std::string& label, const std::string& value)
 {
     family.Add({{label, value}}).Increment();
 }
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -44,30 +44,30 @@
 using udp = asio::ip::udp;
 using serve_function = void (*)(node_state&, beast::tcp_stream, const yield&);
 
-constexpr span_us tick_every = 20 * us_per_ms;
-constexpr span_us slow_tick_every = us_per_s;
-constexpr span_us claims_every = us_per_s;
-constexpr span_us idle_link = 30 * us_per_s;
-constexpr span_us platform_bound = us_per_s;
-constexpr span_us answer_margin = 300 * us_per_ms; // to hand out answers
-constexpr span_us rpc_wait = 500 * us_per_ms;      // for the request thread
-constexpr std::size_t slow_threads = 8;            // revokes and claims
-constexpr std::size_t max_log = 1 << 20;           // bytes not yet written
-constexpr int log_flush_ms = 200;                  // for them at the end
-constexpr int max_revokes = 256;                   // waiting for a thread
-
-/// All parts of a running node, in the order of their construction.
+constexpr span_us tick_interval = 20 * us_per_ms;
+constexpr span_us maintenance_interval = us_per_s;
+constexpr span_us ejections_interval = us_per_s;
+constexpr span_us max_connection_idle = 30 * us_per_s;
+constexpr span_us store_timeout = us_per_s;
+constexpr span_us answer_margin = 300 * us_per_ms; // to deliver answers
+constexpr span_us request_thread_timeout = 500 * us_per_ms;
+constexpr std::size_t blocking_threads = 8; // for blocking calls: RPC and store
+constexpr std::size_t max_log_bytes = 1 << 20;
+constexpr int log_flush_ms = 200;
+constexpr int max_revokes = 256;
+
+/// Owns all parts of a running node. Members are in order of construction.
 struct node_parts
 {
     explicit node_parts(const node_settings& s)
-        : settings(s), log(STDOUT_FILENO, max_log),
+        : settings(s), log(STDOUT_FILENO, max_log_bytes),
           events({4096, 1024, static_cast<std::size_t>(s.log_lines_per_second)},
                  &log),
           metrics(make_node_metrics()), entry(ctx), exit(ctx), admin(ctx),
           hosted_control(ctx), hosted_ready(ctx), gossip(ctx), ticker(ctx),
           signals(ctx, SIGTERM, SIGINT), reload(ctx, SIGHUP),
-          slow(slow_threads), state(settings, ctx, events, *metrics),
-          settings_file(s.file)
+          blocking_pool(blocking_threads),
+          state(settings, ctx, events, *metrics), settings_file(s.file)
     {
     }
 
@@ -80,24 +80,24 @@
     tcp::acceptor entry;
     tcp::acceptor exit;
     tcp::acceptor admin;
-    tcp::acceptor hosted_control; ///< of the platform; closed without one
-    tcp::acceptor hosted_ready;   ///< the same
+    tcp::acceptor hosted_control; ///< for the platform; closed when not hosted
+    tcp::acceptor hosted_ready;
     udp::socket gossip;
     asio::steady_timer ticker;
     asio::signal_set signals;
-    asio::signal_set reload; ///< the settings file may have changed
-    asio::thread_pool slow;
+    asio::signal_set reload;
+    asio::thread_pool blocking_pool;
     node_state state;
     std::unique_ptr<peer_server> rpc;
-    std::unique_ptr<control> slow_state;
+    std::unique_ptr<control> control_plane;
     std::array<char, max_datagram> datagram{};
     udp::endpoint datagram_from;
-    watched_file settings_file; ///< as it was when last looked at
-    mono_us slow_tick_at = 0;
-    mono_us claims_at = 0;
-    mono_us close_at = mono_never; ///< when the doors close
-    mono_us stop_at = mono_never;  ///< when work in flight is given up
-    int revokes_open = 0;          ///< invariant: <= max_revokes
+    watched_file settings_file;
+    mono_us maintenance_at = 0;
+    mono_us ejections_at = 0;
+    mono_us close_listeners_at = mono_never;
+    mono_us stop_at = mono_never; ///< time to abort work in flight
+    int open_revokes = 0;         ///< invariant: <= max_revokes
 };
 
 bool listen(tcp::acceptor& a, const std::string& ip, int port, std::string& why)
@@ -115,7 +115,7 @@
     return !ec;
 }
 
-void accept_on(node_parts& p, tcp::acceptor& a, serve_function serve)
+void accept_connections(node_parts& p, tcp::acceptor& a, serve_function serve)
 {
     a.async_accept([&p, &a, serve](beast::error_code ec, tcp::socket s) {
         if (ec == asio::error::operation_aborted)
@@ -132,7 +132,7 @@
                 asio::detached);
         }
         if (a.is_open())
-            accept_on(p, a, serve);
+            accept_connections(p, a, serve);
     });
 }
 
@@ -144,7 +144,7 @@
                                         return;
                                     const auto& from = p.datagram_from;
                                     if (!ec && from.address().is_v4()) {
-                                        p.slow_state->take_datagram(
+                                        p.control_plane->handle_datagram(
                                             std::string(p.datagram.data(), n),
                                             from.address().to_v4().to_uint(),
                                             from.port());
@@ -153,9 +153,9 @@
                                 });
 }
 
-control_sinks make_sinks(node_parts& p)
+control_callbacks make_callbacks(node_parts& p)
 {
-    control_sinks k;
+    control_callbacks k;
     auto& ctx = p.ctx;
     k.send_datagram = [&p, &ctx](std::string bytes, std::uint32_t ip,
                                  std::uint16_t port) {
@@ -166,27 +166,27 @@
                              {asio::ip::address_v4(ip), port}, 0, ec);
         });
     };
-    k.members_changed = [&p, &ctx](std::vector<member_update> news) {
-        asio::post(ctx, [&p, news = std::move(news)] {
-            apply_member_updates(p.state, news);
+    k.members_changed = [&p, &ctx](std::vector<member_update> updates) {
+        asio::post(ctx, [&p, updates = std::move(updates)] {
+            apply_member_updates(p.state, updates);
         });
     };
     k.config_ready = [&p, &ctx](std::shared_ptr<const fleet_config> c) {
         asio::post(ctx, [&p, c = std::move(c)] { apply_config(p.state, c); });
     };
-    k.proof_heard = [&p, &ctx](const freshness_proof& proof,
-                               const store_clock& clock) {
+    k.proof_updated = [&p, &ctx](const freshness_proof& proof,
+                                 const store_clock& clock) {
         asio::post(ctx, [&p, proof, clock] {
             p.state.fresh.clock = clock;
             apply_proof(p.state.fresh, proof);
         });
     };
-    k.store_state = [&p, &ctx](bool reachable) {
+    k.store_state_changed = [&p, &ctx](bool reachable) {
         asio::post(ctx,
                    [&p, reachable] { p.state.store_reachable = reachable; });
     };
-    k.usual = [&p, &ctx](std::uint32_t ip, std::uint16_t port, baseline_query q,
-                         bool answer) {
+    k.baseline_received = [&p, &ctx](std::uint32_t ip, std::uint16_t port,
+                                     baseline_query q, bool answer) {
         asio::post(ctx, [&p, ip, port, q = std::move(q), answer] {
             if (answer)
                 handle_baseline_response(p.state, q);
@@ -194,17 +194,18 @@
                 answer_baseline_query(p.state, ip, port, q);
         });
     };
-    k.loads = [&p, &ctx](std::vector<load_report> loads) {
+    k.loads_received = [&p, &ctx](std::vector<load_report> loads) {
         asio::post(ctx, [&p, loads = std::move(loads)] {
             apply_load_reports(p.state, loads);
         });
     };
-    k.crashes = [&p, &ctx](const node_address& from, quarantine_message m) {
+    k.quarantine_received = [&p, &ctx](const node_address& from,
+                                       quarantine_message m) {
         asio::post(ctx, [&p, from, m = std::move(m)] {
             handle_quarantine_message(p.state, from, m);
         });
     };
-    k.datagram_counted = [&p](wire_error e, std::size_t bytes) {
+    k.datagram_received = [&p](wire_error e, std::size_t bytes) {
         p.metrics->bytes_in->Increment(static_cast<double>(bytes));
         increment_counter(*p.metrics->datagrams, "fate",
                           e == wire_error::none
@@ -218,30 +219,30 @@
 {
     control_hooks h;
     h.update_self = [&p](node_record r) {
-        p.slow_state->update_self(std::move(r));
+        p.control_plane->update_self(std::move(r));
     };
     h.send_load_reports = [&p](std::vector<load_report> loads) {
-        p.slow_state->send_load_reports(std::move(loads));
+        p.control_plane->send_load_reports(std::move(loads));
     };
     h.send_baseline_message = [&p](std::uint32_t ip, std::uint16_t port,
                                    const baseline_query& q, bool answer) {
-        p.slow_state->send_baseline_message(ip, port, q, answer);
+        p.control_plane->send_baseline_message(ip, port, q, answer);
     };
     h.send_quarantine_messages =
         [&p](std::vector<node_address> to,
              std::vector<quarantine_message> messages) {
-            p.slow_state->send_quarantine_messages(std::move(to),
-                                                   std::move(messages));
+            p.control_plane->send_quarantine_messages(std::move(to),
+                                                      std::move(messages));
         };
     h.revoke = [&p](const node_address& to, const attempt_id& a, boot_id boot,
                     span_us bound, auto done) {
-        if (p.revokes_open >= max_revokes)
+        if (p.open_revokes >= max_revokes)
             return asio::post(p.ctx, [done] { done(std::nullopt); });
-        ++p.revokes_open;
-        asio::post(p.slow, [&p, to, a, boot, bound, done] {
+        ++p.open_revokes;
+        asio::post(p.blocking_pool, [&p, to, a, boot, bound, done] {
             const auto reply = call_revoke(to.ip, to.rpc_port, a, boot, bound);
             asio::post(p.ctx, [&p, done, reply] {
-                --p.revokes_open;
+                --p.open_revokes;
                 done(reply);
             });
         });
@@ -249,14 +250,15 @@
     return h;
 }
 
-/// Runs a function on the request thread and waits, within a bound.
+/// Runs a function on the request thread and waits for its result. Returns
+/// nothing after `request_thread_timeout`; the function may still run then.
 template <typename Result, typename Call>
-std::optional<Result> on_request_thread(node_parts& p, Call call)
+std::optional<Result> run_on_request_thread(node_parts& p, Call call)
 {
     auto promise = std::make_shared<std::promise<Result>>();
     auto result = promise->get_future();
     asio::post(p.ctx, [promise, call] { promise->set_value(call()); });
-    if (result.wait_for(std::chrono::microseconds(rpc_wait)) !=
+    if (result.wait_for(std::chrono::microseconds(request_thread_timeout)) !=
         std::future_status::ready)
         return std::nullopt;
     return result.get();
@@ -266,13 +268,13 @@
 {
     peer_handlers h;
     h.revoke = [&p](const attempt_id& a, boot_id boot) {
-        return on_request_thread<revoke_reply>(
+        return run_on_request_thread<revoke_reply>(
             p, [&p, a, boot] { return handle_revoke(p.state, a, boot); });
     };
     h.chunk = [&p](std::uint64_t hash) { return p.cache.get(hash); };
     h.query = [&p](const std::string& text) {
-        const auto a = on_request_thread<api_response>(p, [&p, text] {
-            // The request, and in a second line the token of a change.
+        const auto a = run_on_request_thread<api_response>(p, [&p, text] {
+            // The first line is the request, the second the token of a command.
             const auto line = text.find('\n');
             const auto request = text.substr(0, line);
             if (!is_command(request))
@@ -287,7 +289,7 @@
     return h;
 }
 
-std::uint64_t random_word()
+std::uint64_t random_nonzero()
 {
     std::uint64_t n = 0;
     randombytes_buf(&n, sizeof(n));
@@ -307,17 +309,17 @@
     return seeds;
 }
 
-void fill_self(node_parts& p)
+void init_node_state(node_parts& p)
 {
     auto& n = p.state;
     const auto& s = p.settings;
     beast::error_code ec;
-    n.local_gate.boot = static_cast<boot_id>(random_word());
+    n.local_gate.boot = static_cast<boot_id>(random_nonzero());
     n.local_gate.limits.stamp_bound = s.stamp_bound;
-    n.rng.value = random_word();
-    // Unique over restarts without a disk: the boot's random bits are part
-    // of every request id.
-    n.next_request = random_word() << 24 >> 1;
+    n.rng.value = random_nonzero();
+    // Starts at a random number, so that request ids stay unique over restarts
+    // without stored state.
+    n.next_request = random_nonzero() << 24 >> 1;
     n.started_at = mono_now();
     n.members_changed_at = n.started_at;
     n.self.id = static_cast<node_id>(text_hash(s.name));
@@ -333,14 +335,14 @@
                       p.rpc->port(),
                       p.admin.local_endpoint(ec).port()};
     n.view.centre = n.self.centre;
-    n.blocking_pool = &p.slow;
+    n.blocking_pool = &p.blocking_pool;
     n.fingerprints = make_fingerprint_key(s.key);
     n.quarantine.policy.crashes =
         static_cast<std::size_t>(s.quarantine.crashes);
     n.quarantine.policy.mark_ttl = s.quarantine.crash_ttl;
 }
 
-void turn_off_safeguards(node_state& n)
+void disable_safeguards(node_state& n)
 {
     for (const auto& name : split(n.settings.safeguards_off, ',')) {
         auto& s = n.safeguards;
@@ -362,7 +364,7 @@
     return !s.hosted.control.empty();
 }
 
-bool open_hosted(node_parts& p, std::string& why)
+bool open_hosted_listeners(node_parts& p, std::string& why)
 {
     const auto& h = p.settings.hosted;
     const auto control = parse_host_port(h.control);
@@ -383,7 +385,8 @@
     beast::error_code ec;
     if (!listen(p.entry, s.ip, s.entry_port, why) ||
         !listen(p.exit, s.ip, s.exit_port, why) ||
-        !listen(p.admin, s.admin_ip, s.admin_port, why) || !open_hosted(p, why))
+        !listen(p.admin, s.admin_ip, s.admin_port, why) ||
+        !open_hosted_listeners(p, why))
         return false;
     p.gossip.open(udp::v4(), ec);
     p.gossip.bind({asio::ip::make_address_v4(s.ip),
@@ -401,7 +404,7 @@
 
 void start_control(node_parts& p)
 {
-    control_start c;
+    control_options c;
     c.settings = p.settings;
     c.self = p.state.self;
     c.seeds = parse_seeds(p.settings);
@@ -410,7 +413,7 @@
     if (!p.settings.second_key.empty())
         c.keys.keys.push_back(p.settings.second_key);
     if (const auto at = parse_host_port(p.settings.platform)) {
-        c.store = make_store_client(*at, platform_bound);
+        c.store = make_store_client(*at, store_timeout);
         c.has_store = true;
         p.state.store = c.store;
         if (is_hosted(p.settings))
@@ -418,68 +421,71 @@
     } else {
         p.state.blocking_pool = nullptr;
     }
-    c.seed = random_word();
-    p.slow_state = std::make_unique<control>(std::move(c), make_sinks(p),
-                                             p.events, p.cache);
+    c.seed = random_nonzero();
+    p.control_plane = std::make_unique<control>(std::move(c), make_callbacks(p),
+                                                p.events, p.cache);
 }
 
-void drop_idle_links(node_state& n, mono_us now)
+void close_idle_connections(node_state& n, mono_us now)
 {
     for (auto it = n.exit_connections.begin();
          it != n.exit_connections.end();) {
         auto& pool = it->second;
         pool.erase(std::remove_if(pool.begin(), pool.end(),
-                                  [now](const auto& link) {
-                                      return now - link->last_used > idle_link;
+                                  [now](const auto& connection) {
+                                      return now - connection->last_used >
+                                             max_connection_idle;
                                   }),
                    pool.end());
         it = pool.empty() ? n.exit_connections.erase(it) : std::next(it);
     }
 }
 
-void slow_tick(node_parts& p, mono_us now)
+void run_maintenance(node_parts& p, mono_us now)
 {
     auto& n = p.state;
     if (!is_hosted(n.settings))
         expire_workers(n, now);
-    drop_idle_links(n, now);
-    // The platform may change the file and send no signal.
+    close_idle_connections(n, now);
+    // The platform may replace the file without a signal.
     if (p.settings_file.changed())
         reload_settings(p.settings, n);
-    evict_idle_allowances(n.teams, local_limit_policy(), now);
-    evict_idle_allowances(n.allowances, make_allowance_policy(n), now);
+    evict_idle_allowances(n.local_allowances, local_limit_policy(), now);
+    evict_idle_allowances(n.owned_allowances, make_allowance_policy(n), now);
     evict_idle_allowances(n.fallback_allowances, make_allowance_policy(n), now);
     quarantine_expire(n.quarantine, uptime_now());
     std::vector<node_id> members;
     for (const auto& [id, v] : n.view.nodes)
         members.push_back(id);
     path_prune(n.paths, members);
-    // The few that were silent lately; ids of nodes that left go with them.
+    // Gives unresponsive owners another try, and drops the ids of departed
+    // nodes.
     n.unresponsive_owners.clear();
 }
 
-void close_doors(node_parts& p)
+void close_listeners(node_parts& p)
 {
     beast::error_code ec;
     p.entry.close(ec);
     p.exit.close(ec);
 }
 
-/// Stops once nothing is in flight, or when the bound is reached.
-void check_stop(node_parts& p, mono_us now)
+/// Once the listeners are due to close, closes them and stops when nothing is
+/// in flight or `stop_at` has passed.
+void stop_when_idle(node_parts& p, mono_us now)
 {
-    if (now < p.close_at)
+    if (now < p.close_listeners_at)
         return;
-    close_doors(p);
+    close_listeners(p);
     const bool idle =
-        p.state.in_flight == 0 && gate_pending_count(p.state.door) == 0;
+        p.state.in_flight == 0 && gate_pending_count(p.state.local_gate) == 0;
     if (idle || now >= p.stop_at)
         p.ctx.stop();
 }
 
 void tick(node_parts& p)
 {
-    p.ticker.expires_after(std::chrono::microseconds(tick_every));
+    p.ticker.expires_after(std::chrono::microseconds(tick_interval));
     p.ticker.async_wait([&p](beast::error_code ec) {
         if (ec)
             return;
@@ -493,45 +499,46 @@
             tick_hosted_worker(p.state, now);
             publish_load_reports(p.state, now);
         }
-        if (now >= p.claims_at) {
-            p.claims_at = now + claims_every;
-            apply_all_claims(p.state);
+        if (now >= p.ejections_at) {
+            p.ejections_at = now + ejections_interval;
+            apply_all_ejections(p.state);
         }
-        if (now >= p.slow_tick_at) {
-            p.slow_tick_at = now + slow_tick_every;
-            slow_tick(p, now);
+        if (now >= p.maintenance_at) {
+            p.maintenance_at = now + maintenance_interval;
+            run_maintenance(p, now);
         }
-        check_stop(p, now);
+        stop_when_idle(p, now);
         tick(p);
     });
 }
 
-/// Says at once that it leaves, so that nobody sends new work, and keeps
-/// the doors open until all have heard it.
+/// Announces that this node is leaving, so that others send no new work, and
+/// keeps listening until the announcement has spread.
 void begin_stop(node_parts& p)
 {
     const auto now = mono_now();
     p.events.write(event_id::process_stopping, p.settings.name, "");
-    deliver_gate_decisions(p.state, gate_stop(p.state.door, now));
+    deliver_gate_decisions(p.state, gate_stop(p.state.local_gate, now));
     p.state.stopping = true;
-    p.close_at = now + p.settings.drain_time;
+    p.close_listeners_at = now + p.settings.drain_time;
     p.stop_at = now + stop_timeout_for(p.settings);
-    p.state.refuse_at = p.close_at;
+    p.state.refuse_at = p.close_listeners_at;
     p.state.last_answer_at = p.stop_at - answer_margin;
     shorten_deadlines(p.state);
     publish_self(p.state);
-    p.slow_state->leave();
+    p.control_plane->leave();
 }
 
-void wait_reload(node_parts& p)
+void await_reload_signal(node_parts& p)
 {
     p.reload.async_wait([&p](beast::error_code ec, int) {
         if (ec)
             return;
-        // Looked at first, so that the next tick does not read it again.
+        // Records the change, so that the next tick does not reload the file
+        // again.
         p.settings_file.changed();
         reload_settings(p.settings, p.state);
-        wait_reload(p);
+        await_reload_signal(p);
     });
 }
 
@@ -553,7 +560,7 @@
 
 int run_node(const node_settings& s)
 {
-    // A reader of the log that goes away must not take the node with it.
+    // Keeps the node running when the reader of its log disconnects.
     std::signal(SIGPIPE, SIG_IGN);
     node_parts p(s);
     std::string why;
@@ -561,19 +568,19 @@
         std::cerr << "cannot listen: " << why << "\n";
         return exit_listen;
     }
-    fill_self(p);
-    turn_off_safeguards(p.state);
+    init_node_state(p);
+    disable_safeguards(p.state);
     start_control(p);
     p.state.control = make_hooks(p);
     publish_self(p.state);
-    accept_on(p, p.entry, serve_caller);
-    accept_on(p, p.exit, serve_exit_connection);
-    accept_on(p, p.admin, serve_admin);
+    accept_connections(p, p.entry, serve_caller);
+    accept_connections(p, p.exit, serve_exit_connection);
+    accept_connections(p, p.admin, serve_admin);
     if (is_hosted(s)) {
         p.state.dialect = make_platform_dialect();
         apply_hosted_policies(p.state);
-        accept_on(p, p.hosted_control, serve_platform_connection);
-        accept_on(p, p.hosted_ready, serve_platform_connection);
+        accept_connections(p, p.hosted_control, serve_platform_connection);
+        accept_connections(p, p.hosted_ready, serve_platform_connection);
     }
     receive_datagrams(p);
     load_quarantine_rows(p.state);
@@ -582,13 +589,13 @@
         if (!ec)
             begin_stop(p);
     });
-    wait_reload(p);
+    await_reload_signal(p);
     p.events.write(event_id::process_started, s.name,
                    "data_centre=" + s.centre);
     write_ready_file(p);
     p.ctx.run();
-    // Threads may be waiting on the store for seconds yet; the platform kills
-    // what outlives its grace, and nothing is left to be saved.
+    // Exits without joining threads: calls to the store may block for seconds,
+    // beyond the platform's grace period, and no state is left to save.
     p.log.flush(log_flush_ms);
     std::_Exit(exit_stopped);
 }
--- a/src/node/node_state.cpp
+++ b/src/node/node_state.cpp
@@ -1,5 +1,5 @@
-// Publishing of what this node says about itself, and of what it makes of
-// others' claims; see node_state.hpp.
+// Publication of this node's record and application of ejection requests; see
+// node_state.hpp.
 #include "node/node_state.hpp"
 
 #include "base/text_func.hpp"
@@ -13,15 +13,16 @@
 
 namespace {
 
-constexpr int severity_step = 50; // what the record tells apart below 100
+constexpr int severity_step = 50; // granularity in the record
 
-worker_record record_of(const node_state& n, local_worker& w, mono_us now)
+worker_record make_worker_record(const node_state& n, local_worker& w,
+                                 mono_us now)
 {
     worker_record r;
     const int severity = severity_of(w, now);
-    w.published = severity;
-    // Small moves below the threshold ride on answers; as records they
-    // would cost a datagram to every node.
+    w.published_severity = severity;
+    // Answers carry small changes below the threshold. A changed record costs a
+    // datagram to every node.
     const int shown = severity >= ejection_severity
                           ? severity
                           : severity / severity_step * severity_step;
@@ -49,7 +50,7 @@
 bool is_ready(const node_state& n)
 {
     return n.config != nullptr && !n.view.services.empty() && !n.stopping &&
-           n.proven;
+           n.config_proven;
 }
 
 centre_id scope_centre(const node_state& n, std::uint32_t scope)
@@ -63,8 +64,8 @@
 
 int severity_of(const local_worker& w, mono_us now)
 {
-    if (w.by_operator != 0 && now < w.operator_until)
-        return w.by_operator;
+    if (w.override_severity != 0 && now < w.override_until)
+        return w.override_severity;
     return health_severity(w.health, w.policy, now);
 }
 
@@ -73,7 +74,7 @@
     const auto now = mono_now();
     n.self.workers.clear();
     for (auto& [id, w] : n.workers)
-        n.self.workers.push_back(record_of(n, w, now));
+        n.self.workers.push_back(make_worker_record(n, w, now));
     n.self.avoided_peers.clear();
     if (!n.paths.local_fault) {
         for (const auto& [id, p] : n.paths.paths) {
@@ -84,12 +85,12 @@
     n.self.leaving = n.stopping;
     view_update(n.view, n.self, liveness::alive, now);
     n.control.update_self(n.self);
-    apply_all_claims(n);
+    apply_all_ejections(n);
 }
 
 namespace {
 
-void apply_service(node_state& n, const service_config& c, mono_us now)
+void apply_ejections(node_state& n, const service_config& c, mono_us now)
 {
     const auto id = service_of(c.name);
     for (const auto& x : view_apply_ejections(n.view, id, c, n.paths, now)) {
@@ -105,16 +106,17 @@
 
 } // namespace
 
-void apply_all_claims(node_state& n)
+void apply_all_ejections(node_state& n)
 {
     if (!n.config)
         return;
     const auto now = mono_now();
     for (const auto& c : n.config->services)
-        apply_service(n, c, now);
+        apply_ejections(n, c, now);
 }
 
-void apply_claims_of(node_state& n, const std::vector<service_id>& services)
+void apply_service_ejections(node_state& n,
+                             const std::vector<service_id>& services)
 {
     if (!n.config)
         return;
@@ -122,7 +124,7 @@
     for (const auto id : services) {
         const auto it = n.service_positions.find(id);
         if (it != n.service_positions.end())
-            apply_service(n, n.config->services[it->second], now);
+            apply_ejections(n, n.config->services[it->second], now);
     }
 }
 
--- a/src/node/node_state.hpp
+++ b/src/node/node_state.hpp
@@ -1,6 +1,7 @@
-// Everything that a node's request thread owns. One thread runs both sides,
-// so the gate, the evidence and the view need no locks; slow state lives in
-// actors, which post their news to this thread.
+// State owned by the request thread. One thread runs the entry and the exit
+// side, so the gate, the health statistics and the fleet view need no locks.
+// Actors keep membership and the configuration, and post their changes to this
+// thread.
 #pragma once
 
 #include "attempt/attempt_type.hpp"
@@ -29,49 +30,47 @@
 
 namespace jasminetray {
 
-/// Work whose answer is lost.
+/// A request whose answer was lost.
 struct lost_work
 {
     fingerprint request{};
-    mono_us at = 0; ///< when its connection ended
+    mono_us at = 0; ///< when its connection closed
 };
 
-/// A backend server on this VM.
 struct local_worker
 {
     worker_id id{};
-    std::string name; ///< as announced
+    std::string name;
     std::string service;
     tcp::endpoint at;
     int slots = 1;
     bool draining = false;
-    bool drained_by_operator = false; ///< by an operator
-    mono_us announced_at = 0;         ///< last announcement
+    bool drained_by_operator = false;
+    mono_us announced_at = 0;
     worker_health health;
     outlier_policy policy;
     connection_pool idle;
-    /// Connections with work on them. Invariant: each lives until its work's
-    /// coroutine has taken it out again.
+    /// Connections in use. Invariant: each outlives its entry, which the
+    /// coroutine of its request removes.
     std::set<http_connection*> busy;
-    std::uint64_t next_work_key = 0; ///< of outstanding work, for the evidence
-    int published = 0;               ///< severity in the node's record
-    load_report told;                ///< to the data centre, last
-    mono_us told_at = 0;
-    std::uint64_t boot = 0; ///< of its process, as announced; its
-                            ///< incarnation together with the name; 0
-                            ///< until a hosted one has told it
-    /// Wall clock when its process answered a health probe before it was
-    /// taken up, in milliseconds since 1970; 0 when none was needed.
+    std::uint64_t next_work_key = 0;
+    int published_severity = 0;
+    load_report reported_load;
+    mono_us load_reported_at = 0;
+    std::uint64_t boot = 0; ///< start of its process as announced, which with
+                            ///< the name forms its incarnation; 0 while unknown
+    /// Unix time in milliseconds of the health probe that the process answered
+    /// before it was registered; 0 for none.
     std::uint64_t answered_ms = 0;
-    std::vector<lost_work> lost; ///< lately; suspect if the process ended
-    bool checking = false;       ///< whether it did is being asked
-    std::uint32_t crashes = 0;   ///< that were noticed under this id
-    mono_us crashed_at = 0;      ///< the last of them
-    int by_operator = 0;         ///< severity that an operator set; 0 for none
-    mono_us operator_until = 0;  ///< when that ends by itself
+    std::vector<lost_work> lost; ///< recent; suspect if the process crashed
+    bool crash_check_pending = false; ///< a probe for a crash is running
+    std::uint32_t crashes = 0;
+    mono_us crashed_at = 0;
+    int override_severity = 0; ///< set by an operator; 0 for none
+    mono_us override_until = 0;
 };
 
-/// Queued work that waits for the gate's decision.
+/// A queued request that waits for the gate's decision.
 struct pending_admission
 {
     pending_admission(asio::io_context& ctx, mono_us until)
@@ -79,14 +78,15 @@
     {
     }
 
-    asio::steady_timer signal; ///< cancelled when there is a decision
-    mono_us deadline = 0;      ///< of the work; its entry node may shorten it
-    bool shortened = false;    ///< it did
+    asio::steady_timer signal; ///< cancelled to wake the waiting coroutine
+    mono_us deadline = 0; ///< of the request; its entry node may shorten it
+    bool shortened = false;
     std::optional<gate_decision> decision;
     bool caller_left = false;
 };
 
-/// Peers' reports that are still awaited.
+/// A query for peers' statistics of a backend server, until all replies
+/// arrived.
 struct peer_query
 {
     worker_id about{};
@@ -94,19 +94,19 @@
     std::vector<peer_report> reports;
 };
 
-/// Who is behind the address of a hosted VM's backend server.
+/// Processes behind the backend server address of a hosted VM.
 struct hosted_state
 {
-    incarnation_table known;               ///< who announced itself
-    std::optional<announcement> candidate; ///< checked in, not proven yet
-    bool probing = false;                  ///< the address is being asked
-    mono_us probe_at = 0;                  ///< not before
-    int missed = 0;                        ///< probes without an answer
+    incarnation_table incarnations;        ///< processes that have checked in
+    std::optional<announcement> candidate; ///< not confirmed by a probe
+    bool probing = false;
+    mono_us probe_at = 0;  ///< earliest time of the next probe
+    int missed_probes = 0; ///< consecutive probes without a response
 };
 
 struct entry_request;
 
-/// What the request thread asks the slow state to do.
+/// Calls from the request thread to the actors and to blocking RPC.
 struct control_hooks
 {
     std::function<void(node_record)> update_self;
@@ -117,7 +117,7 @@
     std::function<void(std::vector<node_address> to,
                        std::vector<quarantine_message>)>
         send_quarantine_messages;
-    /// Asks an exit node on a new connection; `done` runs on the request
+    /// Revokes an attempt at an exit node over RPC. `done` runs on the request
     /// thread, with nothing when there was no reply.
     std::function<void(const node_address&, const attempt_id&, boot_id,
                        span_us bound,
@@ -125,7 +125,7 @@
         revoke;
 };
 
-/// Safeguards in force; all on but in fault runs.
+/// Safeguards in force. Only fault injection tests turn any of them off.
 struct node_safeguards
 {
     gate_safeguards gate;
@@ -134,7 +134,6 @@
     bool close_incomplete = true; ///< no reuse after an incomplete exchange
 };
 
-/// The request thread's state.
 struct node_state
 {
     node_state(const node_settings& s, asio::io_context& c, event_log& e,
@@ -150,84 +149,86 @@
     control_hooks control;
     node_safeguards safeguards;
     store_api store;
-    asio::thread_pool* blocking_pool = nullptr; ///< for blocking claims
+    asio::thread_pool* blocking_pool = nullptr; ///< null without a store
     int open_key_claims = 0;                    ///< invariant: <= max_claims
     node_record self;                           ///< as last published
     random_state rng;
     std::uint64_t next_request = 1;
-    mono_us started_at = 0;         ///< this process
-    bool stopping = false;          ///< doors are closing
-    mono_us refuse_at = mono_never; ///< stopping: new requests come too late
-    mono_us last_answer_at = mono_never;    ///< stopping: all must have theirs
-    std::set<entry_request*> open_requests; ///< requests without a final answer
-    freshness fresh;                        ///< of the configuration in force
-    bool proven = true;                     ///< it is fresh enough; for the log
-    mono_us members_changed_at = 0;         ///< a node came, went or died
-    allowance_table allowances; ///< of teams that have their home here
-    /// Nodes that did not answer as a team's home, and when.
+    mono_us started_at = 0;
+    bool stopping = false;
+    mono_us refuse_at = mono_never;      ///< shutdown: new requests are refused
+    mono_us last_answer_at = mono_never; ///< shutdown: deadline of all answers
+    std::set<entry_request*> open_requests;
+    freshness fresh;
+    bool config_proven = true; ///< fresh enough, as last logged
+    mono_us members_changed_at = 0;
+    allowance_table owned_allowances; ///< of teams owned by this node
+    /// Owner nodes that did not answer a grant request, and when.
     std::unordered_map<node_id, mono_us> unresponsive_owners;
-    allowance_table
-        fallback_allowances; ///< of teams whose homes cannot be reached
+    allowance_table fallback_allowances; ///< of teams without a reachable owner
     bool store_reachable = false;
     mono_us config_at = 0; ///< when the configuration came into force
-    std::shared_ptr<const fleet_config> config; ///< null until there is one
+    std::shared_ptr<const fleet_config> config; ///< null until the first one
 
-    /// Places in config->services; made anew with each configuration.
+    /// Positions in config->services; rebuilt for each configuration.
     std::unordered_map<service_id, std::size_t> service_positions;
 
     http_dialect dialect;
-    fingerprint_key fingerprints{}; ///< key of requests' fingerprints
+    fingerprint_key fingerprints{};
     quarantine_book quarantine;
     hosted_state hosted;
-    gate door;
+    gate local_gate;
     std::map<worker_id, local_worker> workers;
     std::unordered_map<attempt_id, std::shared_ptr<pending_admission>,
                        attempt_hash>
         pending_admissions;
-    std::map<std::uint64_t, peer_query> asks;
+    std::map<std::uint64_t, peer_query> peer_queries;
     std::uint64_t next_peer_query = 1;
-    std::map<std::uint32_t, std::uint32_t> source_index; ///< centre to index
+    std::map<std::uint32_t, std::uint32_t> source_index; ///< by data centre
 
     fleet_view view;
-    std::size_t max_nodes = 1; ///< that were ever known at once; a node that
-                               ///< is cut off must not take the others' part
+    std::size_t max_nodes = 1; ///< maximum ever known; keeps an isolated node
+                               ///< from using the others' share of limits
     path_table paths;
     path_policy path_settings;
     balance_policy balance;
     placement_policy placing;
-    load_update_policy load_news;
-    mono_us last_failure_reported_at =
-        0; ///< newest failure that was said to a caller
-    std::unordered_map<node_id, connection_pool> exits;
-    std::unordered_map<std::string, retry_budget> budgets;
+    load_update_policy load_updates;
+    /// Time of the newest failure returned to a caller.
+    mono_us last_failure_reported_at = 0;
+    std::unordered_map<node_id, connection_pool> exit_connections;
+    std::unordered_map<std::string, retry_budget> retry_budgets;
     std::unordered_map<std::string, int> in_flight_by_service;
     int in_flight = 0;
-    allowance_table teams; ///< where teams have no keys
-    /// Where the next request of a route falls among its parts, by route.
+    allowance_table local_allowances; ///< of teams without keys
+    /// Position of each route's next request within its traffic split.
     std::unordered_map<std::string, double> split_positions;
 };
 
-/// A share as whole percent.
+/// Returns a share of 1 as rounded percent.
 int percent_of(double share);
 
-/// Whether callers may come: there is a configuration to serve by, which is
-/// proven to be fresh where that is promised, somebody to send work to, and the
-/// node is not stopping.
+/// Returns whether the node can serve callers: it is not stopping, and has a
+/// configuration in force that is fresh enough and at least one service with a
+/// known backend server.
 bool is_ready(const node_state& n);
 
-/// Data centre that a verdict's scope means; 0 for all.
+/// Returns the data centre of an ejection's scope; 0 for all.
 centre_id scope_centre(const node_state& n, std::uint32_t scope);
 
-/// Severity of a backend server's claim: an operator's word, else evidence.
+/// Returns the severity of a backend server's ejection request: the operator's
+/// override, else by outlier detection.
 int severity_of(const local_worker& w, mono_us now);
 
-/// Publishes this node's record when it has changed.
+/// Rebuilds and publishes this node's record, and decides all ejections.
 void publish_self(node_state& n);
 
-/// Applies all claims again and logs what changed.
-void apply_all_claims(node_state& n);
+/// Decides the ejections of all services, and logs those held by the capacity
+/// floor.
+void apply_all_ejections(node_state& n);
 
-/// The same for the services of some nodes' backend servers.
-void apply_claims_of(node_state& n, const std::vector<service_id>& services);
+/// Does the same for some services.
+void apply_service_ejections(node_state& n,
+                             const std::vector<service_id>& services);
 
 } // namespace jasminetray
--- a/src/node/presence_actor.cpp
+++ b/src/node/presence_actor.cpp
@@ -1,6 +1,6 @@
-// The actor that lets nodes find each other: each writes one row about
-// itself when it starts and reads the others' once. All that follows spreads
-// by membership. Calls to the store block, so it has a thread of its own.
+// Actor that lets nodes discover each other: at start each writes a row about
+// itself to the store and reads the rows of the others. Later changes spread by
+// gossip. Calls to the store block.
 #include "base/random_func.hpp"
 #include "base/text_func.hpp"
 #include "node/control_type.hpp"
@@ -13,21 +13,21 @@
 namespace {
 
 constexpr char node_table[] = "jasminetray-nodes";
-constexpr span_us first_pause = 100 * us_per_ms; // after a failed call
-constexpr span_us max_pause = us_per_s;
+constexpr span_us min_backoff = 100 * us_per_ms; // doubles on failure
+constexpr span_us max_backoff = us_per_s;
 
-/// State of the actor.
-struct presence_keeper
+struct presence_actor_state
 {
     std::shared_ptr<control_context> context;
     random_state rng;
-    bool written = false;
-    bool read = false;
+    bool row_written = false;
+    bool contacts_read = false;
     bool leaving = false;
-    span_us pause = first_pause;
+    span_us backoff = min_backoff;
 };
 
-/// "ip:port data-centre", the data centre as its hash.
+/// Returns the value of a row: "ip:port data-centre", the data centre as a
+/// hash.
 std::string contact_text(const node_record& r)
 {
     return boost::asio::ip::make_address_v4(r.address.ip).to_string() + ":" +
@@ -50,27 +50,28 @@
     return c;
 }
 
-row_name own_row(const presence_keeper& k)
+row_name own_row(const presence_actor_state& k)
 {
-    return {node_table, k.context->start.self.name};
+    return {node_table, k.context->options.self.name};
 }
 
-/// Writes the row. A name has one node at a time, so no condition is needed:
-/// the newest start is the one to be found.
-bool write_row(const presence_keeper& k)
+/// Writes the row unconditionally: a name belongs to one node at a time, and
+/// its newest process is the one to be found.
+bool write_row(const presence_actor_state& k)
 {
     store_error last{};
     row_write w;
     w.name = own_row(k);
-    w.value = contact_text(k.context->start.self);
-    return k.context->start.store.write_rows({w}, last);
+    w.value = contact_text(k.context->options.self);
+    return k.context->options.store.write_rows({w}, last);
 }
 
-std::vector<contact> parse_rows(const presence_keeper& k, const row_list& list)
+std::vector<contact> parse_rows(const presence_actor_state& k,
+                                const row_list& list)
 {
     std::vector<contact> nodes;
     for (const auto& r : list.rows) {
-        if (r.key == k.context->start.self.name)
+        if (r.key == k.context->options.self.name)
             continue;
         if (const auto c = parse_contact(r.row.value))
             nodes.push_back(*c);
@@ -81,12 +82,12 @@
     return nodes;
 }
 
-bool read_contacts(caf::event_based_actor* self, const presence_keeper& k,
+bool read_contacts(caf::event_based_actor* self, const presence_actor_state& k,
                    const caf::actor& members)
 {
     store_error last{};
     const auto sent = uptime_now();
-    const auto list = k.context->start.store.list_rows(node_table, last);
+    const auto list = k.context->options.store.list_rows(node_table, last);
     if (!list)
         return false;
     if (list->store_time)
@@ -95,17 +96,17 @@
     return true;
 }
 
-/// Takes the row away when the node stops for good or for a while: a name
-/// that stands there for nobody is asked by every node that starts.
-void remove_row(const presence_keeper& k)
+/// Removes the row when the node stops, as every node that starts would contact
+/// its address.
+void remove_row(const presence_actor_state& k)
 {
     store_error last{};
     row_write w;
     w.name = own_row(k);
     w.remove = true;
-    if (!k.context->start.store.write_rows({w}, last)) {
+    if (!k.context->options.store.write_rows({w}, last)) {
         k.context->events->write(
-            event_id::contact_kept, k.context->start.self.name,
+            event_id::contact_kept, k.context->options.self.name,
             "error=" + std::string(name_of(store_error_names, last)));
     }
 }
@@ -116,34 +117,35 @@
                              std::shared_ptr<control_context> context,
                              caf::actor members)
 {
-    auto k = std::make_shared<presence_keeper>();
+    auto k = std::make_shared<presence_actor_state>();
     k->context = std::move(context);
-    k->rng.value = k->context->start.seed + 2;
+    k->rng.value = k->context->options.seed + 2;
     self->send(self, tick_atom::value);
     return {
         [=](tick_atom) {
             if (k->leaving)
                 return;
-            // Written first: of two that start together the later reader
-            // finds the other, whichever that is. A store that takes no
-            // writes may still tell who is there.
-            const bool was_written = k->written;
-            k->written = k->written || write_row(*k);
-            if (!k->read || !was_written)
-                k->read = read_contacts(self, *k, members);
-            if (k->written && k->read)
+            // Writes before reading, so that of two nodes that start together
+            // at least one finds the other. Reads even if the write failed, as
+            // a read-only store still lists the other nodes.
+            const bool row_existed = k->row_written;
+            k->row_written = k->row_written || write_row(*k);
+            if (!k->contacts_read || !row_existed)
+                k->contacts_read = read_contacts(self, *k, members);
+            if (k->row_written && k->contacts_read)
                 return;
             const auto jitter =
-                random_below(k->rng, static_cast<std::uint64_t>(k->pause));
-            self->delayed_send(self,
-                               std::chrono::microseconds(
-                                   k->pause / 2 + static_cast<span_us>(jitter)),
-                               tick_atom::value);
-            k->pause = std::min(max_pause, 2 * k->pause);
+                random_below(k->rng, static_cast<std::uint64_t>(k->backoff));
+            self->delayed_send(
+                self,
+                std::chrono::microseconds(k->backoff / 2 +
+                                          static_cast<span_us>(jitter)),
+                tick_atom::value);
+            k->backoff = std::min(max_backoff, 2 * k->backoff);
         },
         [=](leave_atom) {
             k->leaving = true;
-            if (k->written)
+            if (k->row_written)
                 remove_row(*k);
         },
     };
--- a/src/node/settings_reload.cpp
+++ b/src/node/settings_reload.cpp
@@ -1,4 +1,4 @@
-// Settings of a running node; see settings_reload.hpp.
+// Change detection and reload of the settings file; see settings_reload.hpp.
 #include "node/settings_reload.hpp"
 
 #include <system_error>
--- a/src/node/settings_reload.hpp
+++ b/src/node/settings_reload.hpp
@@ -1,5 +1,5 @@
-// A running node's settings file: noticing that it changed, and taking up
-// what may change without a restart.
+// Detects changes of a running node's settings file and applies the settings
+// that need no restart.
 #pragma once
 
 #include "node/node_state.hpp"
@@ -9,15 +9,15 @@
 
 namespace jasminetray {
 
-/// A file with the time and size that it had when it was last looked at.
+/// Detects changes of a file by its modification time and size.
 class watched_file
 {
 public:
-    /// @param path empty for a file that never changes
+    /// @param path empty for none
     explicit watched_file(std::string path);
 
-    /// Whether time or size differ from the last look. A file that is being
-    /// replaced and cannot be looked at has not changed yet.
+    /// Returns whether the file changed since the last call. A file that cannot
+    /// be read, as during its replacement, counts as unchanged.
     bool changed();
 
 private:
@@ -26,10 +26,10 @@
     std::uintmax_t size_ = 0;
 };
 
-/// Reads the settings again. Addresses stay those of the start; limits and
-/// what the platform tells about the VM are taken up. A file that is wrong
-/// changes nothing, and its error is logged with file and line.
-/// @param settings of the running node, which `n` refers to
+/// Reads the settings again. Applies limits and the platform's description of
+/// the VM, but no addresses. An invalid file changes nothing, and its error is
+/// logged with file and line.
+/// @param settings the settings to which `n` refers
 void reload_settings(node_settings& settings, node_state& n);
 
 } // namespace jasminetray
