--- a/src/node/fleet_news.cpp
+++ b/src/node/fleet_update.cpp
@@ -1,5 +1,5 @@
 // Application of membership and configuration changes; see fleet_update.hpp.
-#include "node/fleet_news.hpp"
+#include "node/fleet_update.hpp"
 
 #include "base/text_func.hpp"
 #include "member/member_query.hpp"
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -13,7 +13,7 @@
 #include "node/entry_team.hpp"
 #include "node/exit_server.hpp"
 #include "node/experiment_func.hpp"
-#include "node/fleet_news.hpp"
+#include "node/fleet_update.hpp"
 #include "node/health_driver.hpp"
 #include "node/hosted_worker.hpp"
 #include "node/quarantine_driver.hpp"
