--- a/src/gate/gate_cmd.cpp
+++ b/src/gate/gate_cmd.cpp
@@ -83,17 +83,18 @@
 bool is_held_back(const gate& g, const gate_worker& w, const gate_request& r,
                   mono_us now)
 {
-    if (!g.limits.doubt.on ||
-        !estimate_withholds_work(w.doubt, g.limits.doubt, now))
+    if (!g.limits.estimate.on ||
+        !estimate_withholds_work(w.estimate, g.limits.estimate, now))
         return false;
-    const auto& p = g.limits.doubt;
+    const auto& p = g.limits.estimate;
     // No other backend server has capacity, and a failure of idempotent work
     // does no harm.
     if (r.is_fallback && r.idempotent)
         return false;
-    const bool may = r.may_probe || estimate_failure_probability(
-                                        w.doubt, p, now) < p.any_work_threshold;
-    return !may || now < w.doubt.probe_at;
+    const bool may =
+        r.may_probe ||
+        estimate_failure_probability(w.estimate, p, now) < p.any_work_threshold;
+    return !may || now < w.estimate.probe_at;
 }
 
 gate_error check_capacity(const gate& g, const gate_worker& w,
@@ -205,7 +206,7 @@
 std::vector<gate_decision>
 refuse_if_newly_suspect(gate& g, gate_worker& w, bool was_suspect, mono_us now)
 {
-    return w.doubt.suspect && !was_suspect
+    return w.estimate.suspect && !was_suspect
                ? refuse_waiting(g, w, gate_error::suspected, now)
                : std::vector<gate_decision>{};
 }
@@ -230,8 +231,8 @@
     }
     auto& w = it->second;
     const bool start = has_free_slot(w) && w.queue.empty();
-    if (mode == command_mode::apply && w.doubt.suspect)
-        estimate_take_probe(w.doubt, g.limits.doubt, now);
+    if (mode == command_mode::apply && w.estimate.suspect)
+        estimate_take_probe(w.estimate, g.limits.estimate, now);
     if (mode == command_mode::apply && !is_late(w, make_waiting(r, 0), now))
         add_on_time_load(w, g.limits, r.route_class, now);
     if (mode == command_mode::apply && start)
@@ -307,14 +308,15 @@
                                                mono_us now)
 {
     const auto it = g.workers.find(id);
-    if (!g.limits.doubt.on || it == g.workers.end())
+    if (!g.limits.estimate.on || it == g.workers.end())
         return {};
     if (!failed && is_counted_early(it->second, g.limits, took)) {
-        it->second.doubt.probe_at = now;
+        it->second.estimate.probe_at = now;
         return {};
     }
-    const bool was = it->second.doubt.suspect;
-    estimate_add_outcome(it->second.doubt, g.limits.doubt, failed, took, now);
+    const bool was = it->second.estimate.suspect;
+    estimate_add_outcome(it->second.estimate, g.limits.estimate, failed, took,
+                         now);
     return refuse_if_newly_suspect(g, it->second, was, now);
 }
 
@@ -330,10 +332,11 @@
 {
     constexpr double overdue_share = 0.85; // of work that has ended by then
     const auto it = g.workers.find(id);
-    if (!g.limits.doubt.on || it == g.workers.end())
+    if (!g.limits.estimate.on || it == g.workers.end())
         return {};
-    const bool was = it->second.doubt.suspect;
-    estimate_add_overdue(it->second.doubt, g.limits.doubt, overdue_share, now);
+    const bool was = it->second.estimate.suspect;
+    estimate_add_overdue(it->second.estimate, g.limits.estimate, overdue_share,
+                         now);
     return refuse_if_newly_suspect(g, it->second, was, now);
 }
 
--- a/src/gate/gate_query.cpp
+++ b/src/gate/gate_query.cpp
@@ -42,16 +42,17 @@
 bool is_suspect(const gate& g, worker_id w, mono_us now)
 {
     const auto it = g.workers.find(w);
-    return it != g.workers.end() && g.limits.doubt.on &&
-           estimate_withholds_work(it->second.doubt, g.limits.doubt, now);
+    return it != g.workers.end() && g.limits.estimate.on &&
+           estimate_withholds_work(it->second.estimate, g.limits.estimate, now);
 }
 
 double gate_failure_probability(const gate& g, worker_id w, mono_us now)
 {
     const auto it = g.workers.find(w);
-    if (!g.limits.doubt.on || it == g.workers.end())
+    if (!g.limits.estimate.on || it == g.workers.end())
         return 0;
-    return estimate_failure_probability(it->second.doubt, g.limits.doubt, now);
+    return estimate_failure_probability(it->second.estimate, g.limits.estimate,
+                                        now);
 }
 
 std::size_t gate_pending_count(const gate& g)
--- a/src/gate/gate_type.hpp
+++ b/src/gate/gate_type.hpp
@@ -117,7 +117,7 @@
     /// wait forecast refuses work long before.
     std::size_t queue = 64;
     failure_estimate_policy
-        doubt; ///< failure probability at which work is held back
+        estimate; ///< failure probability at which work is held back
     /// Minimum time that work may wait in the queue, whatever its target.
     /// Lookups with short targets are often made by running requests, which
     /// fail with them.
@@ -184,7 +184,7 @@
     mono_us lowered_at = 0;     ///< last decrease of the limit
     int served_concurrency = 0; ///< highest recent concurrency of a response
     mono_us served_at = 0;      ///< time of that response
-    failure_estimate doubt;     ///< failure probability
+    failure_estimate estimate;  ///< failure probability
     std::vector<recent_work> recent; ///< invariant: size <= slots
     double on_time_load = 0;         ///< share of its time used by on-time work
     mono_us on_time_load_at = 0;     ///< last update of on_time_load
--- a/src/node/entry_attempt.cpp
+++ b/src/node/entry_attempt.cpp
@@ -52,10 +52,10 @@
                      now);
     const auto index =
         static_cast<std::size_t>(c - it->second.candidates.data());
-    auto& spoken = it->second.answer_severities[index];
+    auto& reported = it->second.answer_severities[index];
     // Applies a changed ejection request at once; gossip would delay it.
-    const bool moved = spoken.severity / 25 != a.severity / 25;
-    spoken = {a.severity, now};
+    const bool moved = reported.severity / 25 != a.severity / 25;
+    reported = {a.severity, now};
     if (moved && r.service != nullptr)
         view_apply_ejections(n.view, r.service_key, *r.service, n.paths, now);
 }
@@ -134,7 +134,7 @@
     h.worker = t.worker;
     h.idempotent = r.machine.policy.idempotent;
     h.may_probe = r.may_probe;
-    h.last_resort = r.is_fallback;
+    h.is_fallback = r.is_fallback;
     h.entry_stopping = r.machine.deadline >= n.last_answer_at;
     h.priority = r.priority;
     h.route_class = r.route_class;
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -54,7 +54,7 @@
     w.request.stamp = h->stamp;
     w.request.idempotent = h->idempotent;
     w.request.may_probe = h->may_probe;
-    w.request.is_fallback = h->last_resort;
+    w.request.is_fallback = h->is_fallback;
     w.request.entry_stopping = h->entry_stopping;
     w.request.priority = h->priority;
     w.request.deadline =
--- a/src/node/experiment_func.cpp
+++ b/src/node/experiment_func.cpp
@@ -14,15 +14,15 @@
 {
     const auto& e = n.settings.experiment;
     auto& gate = n.local_gate.limits;
-    const bool doubt = e.is_enabled(mechanism::failure_estimation);
-    gate.doubt.on = doubt;
-    n.balance.estimate.on = doubt;
+    const bool estimation = e.is_enabled(mechanism::failure_estimation);
+    gate.estimate.on = estimation;
+    n.balance.estimate.on = estimation;
     gate.late_forecast = e.is_enabled(mechanism::late_forecast);
     gate.short_first = e.is_enabled(mechanism::short_first);
-    n.placing.on = doubt && e.is_enabled(mechanism::placement);
+    n.placing.on = estimation && e.is_enabled(mechanism::placement);
     gate.early_success.enabled = e.is_enabled(mechanism::early_success);
     if (!e.is_enabled(mechanism::early_probe_success))
-        gate.doubt.fast_failure_time = 0;
+        gate.estimate.fast_failure_time = 0;
     if (!e.is_enabled(mechanism::probe_traffic)) {
         n.placing.probe_share = 0;
         n.placing.probe_share_per_candidate = 0;
@@ -50,12 +50,13 @@
         place.far_share *= x.factor;
         break;
     case tunable::probe_interval:
-        gate.doubt.probe_every = scale_time(gate.doubt.probe_every, x.factor);
+        gate.estimate.probe_every =
+            scale_time(gate.estimate.probe_every, x.factor);
         break;
     case tunable::unhealthy_span:
-        gate.doubt.unhealthy_span =
-            scale_time(gate.doubt.unhealthy_span, x.factor);
-        n.balance.estimate.unhealthy_span = gate.doubt.unhealthy_span;
+        gate.estimate.unhealthy_span =
+            scale_time(gate.estimate.unhealthy_span, x.factor);
+        n.balance.estimate.unhealthy_span = gate.estimate.unhealthy_span;
         break;
     }
 }
--- a/src/node/hop_func.cpp
+++ b/src/node/hop_func.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t allowance_answer_parts = 2;
 constexpr std::uint64_t idempotent_bit = 1;
 constexpr std::uint64_t probe_bit = 2;
-constexpr std::uint64_t last_resort_bit = 4;
+constexpr std::uint64_t fallback_bit = 4;
 constexpr std::uint64_t stopping_bit = 8;
 constexpr std::uint64_t failed_bit = 1;
 constexpr std::uint64_t reached_bit = 2;
@@ -85,7 +85,7 @@
     append_number(out, static_cast<std::uint64_t>(r.worker));
     append_number(out, (r.idempotent ? idempotent_bit : 0) |
                            (r.may_probe ? probe_bit : 0) |
-                           (r.last_resort ? last_resort_bit : 0) |
+                           (r.is_fallback ? fallback_bit : 0) |
                            (r.entry_stopping ? stopping_bit : 0));
     append_number(out, static_cast<std::uint64_t>(r.priority));
     append_number(out, r.route_class);
@@ -236,7 +236,7 @@
     const auto bits = in.number();
     r.idempotent = (bits & idempotent_bit) != 0;
     r.may_probe = (bits & probe_bit) != 0;
-    r.last_resort = (bits & last_resort_bit) != 0;
+    r.is_fallback = (bits & fallback_bit) != 0;
     r.entry_stopping = (bits & stopping_bit) != 0;
     r.priority = static_cast<int>(in.number() & INT32_MAX);
     r.route_class = static_cast<std::uint32_t>(in.number());
--- a/src/node/hop_type.hpp
+++ b/src/node/hop_type.hpp
@@ -23,7 +23,7 @@
     worker_id worker{};          ///< selected backend server
     bool idempotent = false;     ///< may run more than once
     bool may_probe = false;      ///< a failure would be retried elsewhere
-    bool last_resort = false;    ///< all other gates refused it
+    bool is_fallback = false;    ///< all other gates refused it
     bool entry_stopping = false; ///< the entry node stops at the deadline
     int priority = 5;
     std::uint32_t route_class = 0; ///< hash of the route's name
--- a/test/test_early_success.cpp
+++ b/test/test_early_success.cpp
@@ -25,13 +25,13 @@
 {
     constexpr int slots = 15;
     gate g;
-    g.limits.doubt.on = true;
+    g.limits.estimate.on = true;
     gate_set_worker(g, backend, slots, 0);
     auto& w = g.workers[backend];
     w.mean_duration = charge_time;
     w.classes[lookup_class].mean_duration = lookup_time;
     w.classes[charge_class].mean_duration = charge_time;
-    w.doubt.at = start;
+    w.estimate.at = start;
     return g;
 }
 
@@ -94,7 +94,7 @@
     auto g = make_gate();
     for (int k = 0; k < 3; ++k)
         gate_report_outcome(g, backend, true, charge_time, start);
-    auto& d = g.workers[backend].doubt;
+    auto& d = g.workers[backend].estimate;
     d.suspect = false;
     d.probability = 0.3;
     gate_error last{};
--- a/test/test_estimate.cpp
+++ b/test/test_estimate.cpp
@@ -23,10 +23,10 @@
 gate make_gate(int slots)
 {
     gate g;
-    g.limits.doubt = enabled_policy();
+    g.limits.estimate = enabled_policy();
     gate_set_worker(g, backend, slots, 0);
     g.workers[backend].mean_duration = us_per_s / 2;
-    g.workers[backend].doubt.at = start;
+    g.workers[backend].estimate.at = start;
     return g;
 }
 
@@ -101,13 +101,13 @@
     EXPECT_FALSE(admit(g, work(1, start, 2 * us_per_s, false), start, last));
     EXPECT_EQ(last, gate_error::suspected);
     EXPECT_FALSE(admit(g, work(2, start, us_per_s), start, last));
-    const auto later = start + g.limits.doubt.probe_every;
+    const auto later = start + g.limits.estimate.probe_every;
     EXPECT_TRUE(admit(g, work(3, start, us_per_s), later, last));
     EXPECT_FALSE(admit(g, work(4, start, us_per_s), later, last));
     EXPECT_EQ(last, gate_error::suspected);
     auto last_attempt = work(5, start, us_per_s);
     last_attempt.may_probe = false;
-    const auto next = later + g.limits.doubt.probe_every;
+    const auto next = later + g.limits.estimate.probe_every;
     EXPECT_FALSE(admit(g, last_attempt, next, last));
     gate_report_outcome(g, backend, false, took, later);
     gate_report_outcome(g, backend, false, took, later);
@@ -121,13 +121,13 @@
     gate_error last{};
     const span_us at_once = 2 * us_per_ms;
     gate_report_outcome(g, backend, true, at_once, start);
-    auto now = start + g.limits.doubt.probe_every;
+    auto now = start + g.limits.estimate.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
-    now += g.limits.doubt.fast_failure_time;
+    now += g.limits.estimate.fast_failure_time;
     EXPECT_TRUE(admit(g, work(3, now, us_per_s), now, last));
     gate_report_outcome(g, backend, true, at_once, now + at_once);
-    now += g.limits.doubt.fast_failure_time;
+    now += g.limits.estimate.fast_failure_time;
     EXPECT_FALSE(admit(g, work(4, now, us_per_s), now, last));
 }
 
@@ -137,9 +137,9 @@
     auto g = make_gate(6);
     gate_error last{};
     gate_report_outcome(g, backend, true, 3 * us_per_s, start);
-    auto now = start + g.limits.doubt.probe_every;
+    auto now = start + g.limits.estimate.probe_every;
     EXPECT_TRUE(admit(g, work(1, now, us_per_s), now, last));
-    now += g.limits.doubt.fast_failure_time;
+    now += g.limits.estimate.fast_failure_time;
     EXPECT_FALSE(admit(g, work(2, now, us_per_s), now, last));
 }
 
