--- a/bench/ejection_simulation.cpp
+++ b/bench/ejection_simulation.cpp
@@ -111,10 +111,10 @@
     case bench_scenario::slow_2:
         b.slowdown = 2;
         break;
-    case bench_scenario::silent:
+    case bench_scenario::unresponsive:
     case bench_scenario::one_way:
         b.no_response = true;
-        b.probes_fail = s.scenario == bench_scenario::silent;
+        b.probes_fail = s.scenario == bench_scenario::unresponsive;
         break;
     case bench_scenario::one_centre:
         b.failure_rate = source == 0 ? 1 : baseline_failure_rate;
--- a/bench/ejection_simulation.hpp
+++ b/bench/ejection_simulation.hpp
@@ -37,7 +37,7 @@
     fail_5,
     slow_5,
     slow_2,
-    silent,
+    unresponsive,
     one_centre,
     flap_2s,
     flap_10s,
--- a/src/attempt/attempt_func.cpp
+++ b/src/attempt/attempt_func.cpp
@@ -311,8 +311,8 @@
         send(r, attempt_action_kind::send, now, out);
     } else if (e.kind == attempt_event_kind::timer) {
         on_timer(r, budget, now, out, on);
-    } else if (e.kind == attempt_event_kind::caller_gone) {
-        r.outcome = final_outcome::gone;
+    } else if (e.kind == attempt_event_kind::caller_disconnected) {
+        r.outcome = final_outcome::disconnected;
         cancel_open(r, 0, out);
     } else if (e.count >= 1 && e.count <= r.attempt_states.size()) {
         on_attempt(r, e, budget, now, out, on);
--- a/src/attempt/attempt_type.hpp
+++ b/src/attempt/attempt_type.hpp
@@ -15,11 +15,11 @@
 /// Final outcome of a request for its caller.
 enum class final_outcome : std::uint8_t
 {
-    open,    ///< not decided yet
-    answer,  ///< a backend server's response, complete or streaming
-    not_run, ///< refused; proven not to have run
-    unknown, ///< refused; may have run
-    gone,    ///< the caller has disconnected; nothing is sent
+    open,         ///< not decided yet
+    answer,       ///< a backend server's response, complete or streaming
+    not_run,      ///< refused; proven not to have run
+    unknown,      ///< refused; may have run
+    disconnected, ///< the caller has disconnected; nothing is sent
 };
 
 inline constexpr std::array<std::string_view, 5> final_outcome_names = {
@@ -27,20 +27,20 @@
 
 enum class attempt_event_kind : std::uint8_t
 {
-    begin,          ///< the request is complete and routed
-    answer,         ///< at least the head of a response has arrived
-    failed_answer,  ///< a complete response that reports a server failure
-    not_run,        ///< refused by the exit node; it did not run
-    unknown,        ///< the exit node can't tell whether it ran
-    unsent,         ///< no connection, or no byte was written
-    lost,           ///< the connection broke after a byte was written
-    revoke_not_run, ///< the exit node will never run it
-    revoke_open,    ///< the exit node has started or finished it
-    revoke_unknown, ///< no reply, ended, or another incarnation replied
-    no_worker,      ///< no candidate is left for the next attempt
-    quarantined,    ///< did not run and must not be sent again
-    timer,          ///< request_state::wake_at has passed
-    caller_gone,    ///< the caller closed its connection
+    begin,               ///< the request is complete and routed
+    answer,              ///< at least the head of a response has arrived
+    failed_answer,       ///< a complete response that reports a server failure
+    not_run,             ///< refused by the exit node; it did not run
+    unknown,             ///< the exit node can't tell whether it ran
+    unsent,              ///< no connection, or no byte was written
+    lost,                ///< the connection broke after a byte was written
+    revoke_not_run,      ///< the exit node will never run it
+    revoke_open,         ///< the exit node has started or finished it
+    revoke_unknown,      ///< no reply, ended, or another incarnation replied
+    no_worker,           ///< no candidate is left for the next attempt
+    quarantined,         ///< did not run and must not be sent again
+    timer,               ///< request_state::wake_at has passed
+    caller_disconnected, ///< the caller closed its connection
 };
 
 /// An event and the attempt that it concerns.
--- a/src/balance/view_type.hpp
+++ b/src/balance/view_type.hpp
@@ -49,7 +49,7 @@
     centre_id centre{}; ///< own data centre
     std::unordered_map<service_id, service_view> services;
     std::unordered_map<node_id, view_node> nodes;
-    std::vector<node_id> suspected_nodes; ///< by a quorum of witnesses
+    std::vector<node_id> suspected_nodes; ///< by a quorum of reporters
 };
 
 /// Returns the hash of a service's name.
--- a/src/gate/gate_cmd.cpp
+++ b/src/gate/gate_cmd.cpp
@@ -41,7 +41,7 @@
 gate_error check_identity(const gate& g, const gate_request& r, mono_us now,
                           const gate_safeguards& on)
 {
-    // The records of a previous incarnation are gone. A copy of an attempt that
+    // The records of a previous incarnation are lost. A copy of an attempt that
     // was sent to it could run a second time here.
     if (on.check_boot && r.boot != g.boot)
         return gate_error::wrong_boot;
@@ -377,7 +377,7 @@
 revoke_reply gate_revoke(gate& g, const attempt_id& a, boot_id boot,
                          mono_us now, const gate_safeguards& on)
 {
-    // The records of a previous incarnation are gone.
+    // The records of a previous incarnation are lost.
     if (on.check_boot && boot != g.boot)
         return revoke_reply::wrong_boot;
     const auto it = g.records.find(a);
--- a/src/hosted/incarnation_cmd.cpp
+++ b/src/hosted/incarnation_cmd.cpp
@@ -105,7 +105,7 @@
     if (a.draining || a.leaving) {
         k.departed = true;
         k.departed_ms = a.boot == 0 ? wall_ms : 0;
-        return announcement_status::gone;
+        return announcement_status::departed;
     }
     if (k.departed && t.guards.keep_departed)
         return announcement_status::stale;
--- a/src/hosted/incarnation_type.hpp
+++ b/src/hosted/incarnation_type.hpp
@@ -16,7 +16,7 @@
 {
     stale,        ///< of a previous incarnation, or out of order
     unidentified, ///< lacks a start time although the name has one
-    gone,         ///< the incarnation accepts no requests any more
+    departed,     ///< the incarnation accepts no requests any more
     current,      ///< newest announcement of the current incarnation
 };
 
@@ -102,7 +102,7 @@
 /// probe, so that its first announcement isn't taken for a restart and its
 /// requests continue. The probed process has the latest start before the
 /// answer. A start in the future shows that the wall clock stepped back;
-/// requests then continue, and end by themselves if the process is gone.
+/// requests then continue, and end by themselves if the process has ended.
 /// @param start_ms announced start, in milliseconds since 1970
 /// @param current_start_ms start assumed so far; 0 for none
 /// @param probed_ms wall clock at the probe's answer; 0 for no answer
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -173,14 +173,14 @@
 
 void expire_workers(node_state& n, mono_us now)
 {
-    std::vector<worker_id> gone;
+    std::vector<worker_id> expired;
     for (const auto& [id, w] : n.workers) {
         if (now - w.announced_at > announcement_timeout)
-            gone.push_back(id);
+            expired.push_back(id);
     }
-    for (const auto id : gone)
+    for (const auto id : expired)
         remove_worker(n, id, "lapsed");
-    if (!gone.empty())
+    if (!expired.empty())
         publish_self(n);
 }
 
--- a/src/node/entry_server.cpp
+++ b/src/node/entry_server.cpp
@@ -137,15 +137,15 @@
 {
     r->watching_caller = true;
     auto* stream = &c.stream;
-    stream->socket().async_wait(
-        tcp::socket::wait_read,
-        [weak = std::weak_ptr<entry_request>(r), stream](beast::error_code ec) {
-            const auto run = weak.lock();
-            if (ec || !run || !run->watching_caller)
-                return;
-            if (peer_closed(stream->socket()))
-                run->queue_event({attempt_event_kind::caller_gone, 0, ""});
-        });
+    const std::weak_ptr<entry_request> weak = r;
+    auto on_readable = [weak, stream](beast::error_code ec) {
+        const auto run = weak.lock();
+        if (ec || !run || !run->watching_caller)
+            return;
+        if (peer_closed(stream->socket()))
+            run->queue_event({attempt_event_kind::caller_disconnected, 0, ""});
+    };
+    stream->socket().async_wait(tcp::socket::wait_read, std::move(on_readable));
 }
 
 void unwatch_caller(entry_request& r, caller& c)
@@ -367,7 +367,7 @@
     bool keep = false;
     if (delivered != 0)
         keep = deliver_answer(*r, delivered, c, y);
-    else if (r->machine.outcome != final_outcome::gone)
+    else if (r->machine.outcome != final_outcome::disconnected)
         keep = send_refusal(n, c, r->id, r->label, final_refusal(*r), y);
     --n.in_flight;
     --in_flight_of_service;
--- a/src/node/hosted_worker.cpp
+++ b/src/node/hosted_worker.cpp
@@ -86,7 +86,7 @@
     return h.candidate && h.candidate->name == p.name;
 }
 
-/// Keeps the current process, admits a new one or removes a silent one.
+/// Keeps the current process, admits a new one or removes an overdue one.
 void apply_probe_result(node_state& n, const probe_result& p)
 {
     auto& h = n.hosted;
@@ -174,7 +174,7 @@
         n.events.write(event_id::check_in_refused, a.name,
                        "reason=no-start-time");
         return;
-    case announcement_status::gone:
+    case announcement_status::departed:
         return drain_incarnation(n, a);
     case announcement_status::current:
         break;
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -82,9 +82,9 @@
         const auto it = k.table.members.find(c.about);
         if (c.kind == member_change_kind::forgotten) {
             log_change(k, c, to_hex(static_cast<std::uint64_t>(c.about)));
-            node_record gone;
-            gone.id = c.about;
-            updates.push_back({gone, liveness::dead, true});
+            node_record forgotten;
+            forgotten.id = c.about;
+            updates.push_back({forgotten, liveness::dead, true});
             continue;
         }
         if (it == k.table.members.end()) {
--- a/src/outlier/path_func.cpp
+++ b/src/outlier/path_func.cpp
@@ -83,20 +83,20 @@
 suspected_exit_nodes(const std::vector<path_complaint>& all,
                      const path_policy& p)
 {
-    struct witnesses
+    struct reporters
     {
         std::set<node_id> nodes;
         std::set<std::uint32_t> centres;
     };
-    std::map<node_id, witnesses> by_node;
+    std::map<node_id, reporters> by_node;
     for (const auto& c : all) {
-        by_node[c.about].nodes.insert(c.witness);
+        by_node[c.about].nodes.insert(c.reporter);
         by_node[c.about].centres.insert(c.centre);
     }
     std::vector<node_id> agreed;
-    for (const auto& [id, w] : by_node) {
-        if (w.nodes.size() >= p.witnesses &&
-            w.centres.size() >= p.witness_centres)
+    for (const auto& [id, r] : by_node) {
+        if (r.nodes.size() >= p.min_reporters &&
+            r.centres.size() >= p.min_reporter_centres)
             agreed.push_back(id);
     }
     return agreed;
--- a/src/outlier/path_type.hpp
+++ b/src/outlier/path_type.hpp
@@ -1,6 +1,6 @@
 // Health of the network paths from this entry node to the exit nodes. An
 // avoided path affects only this entry node. Ejecting the exit node takes a
-// quorum of witnesses in several data centres. An entry node that sees most
+// quorum of reporters in several data centres. An entry node that sees most
 // of its paths fail attributes that to its own network.
 #pragma once
 
@@ -33,8 +33,8 @@
     int probes_to_restore = 3;
     double local_fault_share = 0.5;        ///< of paths that are avoided
     std::size_t local_fault_min_paths = 3; ///< to assume a local fault
-    std::size_t witnesses = 3;             ///< quorum about an exit node
-    std::size_t witness_centres = 2;       ///< data centres of the quorum
+    std::size_t min_reporters = 3;         ///< quorum about an exit node
+    std::size_t min_reporter_centres = 2;  ///< data centres of the quorum
 };
 
 /// Paths of one entry node.
@@ -47,8 +47,8 @@
 /// One node's complaint about another, from its membership record.
 struct path_complaint
 {
-    node_id witness{};
-    std::uint32_t centre = 0; ///< data centre of the witness
+    node_id reporter{};
+    std::uint32_t centre = 0; ///< data centre of the reporter
     node_id about{};
 };
 
@@ -74,7 +74,7 @@
 /// Returns whether this node uses a path. During a local fault it uses all.
 bool path_usable(const path_table& t, node_id exit);
 
-/// Returns exit nodes that a quorum of witnesses complains about.
+/// Returns exit nodes that a quorum of reporters complains about.
 std::vector<node_id>
 suspected_exit_nodes(const std::vector<path_complaint>& all,
                      const path_policy& p);
--- a/test/fuzz_incarnation.cpp
+++ b/test/fuzz_incarnation.cpp
@@ -124,7 +124,7 @@
             a.sequence <= accepted_sequences[w.sender])
             broken = "an announcement out of order was accepted";
         const bool accepted =
-            current || status == jt::announcement_status::gone;
+            current || status == jt::announcement_status::departed;
         // The first announcement of a dead process that started later by a
         // clock which stepped back since can't be told from a restart;
         // check_recovery() covers it.
@@ -149,7 +149,7 @@
                          jt::announcement_status status)
     {
         const auto& a = w.message;
-        if (status == jt::announcement_status::gone)
+        if (status == jt::announcement_status::departed)
             departed.insert(w.sender);
         if (status == jt::announcement_status::current)
             accepted_sequences[w.sender] = a.sequence;
--- a/test/test_incarnation.cpp
+++ b/test/test_incarnation.cpp
@@ -35,7 +35,7 @@
               announcement_status::current);
     auto departure = make_announcement(earlier_start, 41);
     departure.draining = true;
-    EXPECT_EQ(receive(t, departure, 2), announcement_status::gone);
+    EXPECT_EQ(receive(t, departure, 2), announcement_status::departed);
     EXPECT_EQ(receive(t, make_announcement(earlier_start, 42), 3),
               announcement_status::stale);
     EXPECT_EQ(receive(t, make_announcement(later_start, 1), 4),
