--- a/bench/bench_scale.cpp
+++ b/bench/bench_scale.cpp
@@ -86,8 +86,8 @@
 void receive_encoded(member_run& r, const gossip_message& m)
 {
     const auto bytes = encode_message(m, keys);
-    wire_error last{};
-    const auto got = decode_message(bytes, keys, last);
+    wire_error error{};
+    const auto got = decode_message(bytes, keys, error);
     r.bytes_in += static_cast<double>(bytes.size());
     count_sent(r, member_receive(r.table, *got, 1, 1, r.rng, r.now));
 }
@@ -214,8 +214,8 @@
     const auto text = make_config_text(services, routes, teams);
     const double heap_before = heap_bytes();
     const double cpu_before = cpu_now();
-    config_error last;
-    const auto c = build_config({{"base.ini", text}}, "a", 1, last);
+    config_error error;
+    const auto c = build_config({{"base.ini", text}}, "a", 1, error);
     const double cpu = cpu_now() - cpu_before;
     const double heap = heap_bytes() - heap_before;
     // Counts the bytes to transfer after an edit of one team's rate.
@@ -290,8 +290,8 @@
         r.attempt = {{node_id{1}, n}, 1};
         r.worker = worker_id{1};
         r.deadline = us_per_s;
-        gate_error last{};
-        gate_admit(command_mode::apply, g, r, 1, last);
+        gate_error error{};
+        gate_admit(command_mode::apply, g, r, 1, error);
         gate_finish(g, r, work_result::answered, 1, 1);
     }
     const double cpu = cpu_now() - before;
--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -28,18 +28,18 @@
     bool force = false;
 };
 
-api_response make_error_response(unsigned status, const std::string& why)
+api_response make_error_response(unsigned status, const std::string& reason)
 {
-    return {status, json::serialize(json::object{{"error", why}})};
+    return {status, json::serialize(json::object{{"error", reason}})};
 }
 
 std::optional<command> parse_command(const std::string& request,
-                                     std::string& why)
+                                     std::string& reason)
 {
     json::error_code ec;
     const auto v = json::parse(request, ec);
     if (ec || !v.is_object()) {
-        why = "expected a JSON object";
+        reason = "expected a JSON object";
         return std::nullopt;
     }
     const auto& o = v.as_object();
@@ -59,13 +59,13 @@
     const auto* force = o.if_contains("force");
     c.force = force && force->is_bool() && force->as_bool();
     if (!target)
-        why = release ? "fingerprint must be a request fingerprint in hex"
-                      : "worker must be a backend server id in hex";
+        reason = release ? "fingerprint must be a request fingerprint in hex"
+                         : "worker must be a backend server id in hex";
     else if (c.reason.empty())
-        why = "a reason is required";
+        reason = "a reason is required";
     else if (c.seconds < 1 || c.seconds > max_seconds)
-        why = "seconds must be 1 to 86400";
-    if (!why.empty())
+        reason = "seconds must be 1 to 86400";
+    if (!reason.empty())
         return std::nullopt;
     if (release)
         c.request = static_cast<fingerprint>(*target);
@@ -125,10 +125,10 @@
         n.events.write(event_id::operator_denied, who.name, "");
         return make_error_response(403, "a valid token is required");
     }
-    std::string why;
-    const auto c = parse_command(request, why);
+    std::string reason;
+    const auto c = parse_command(request, reason);
     if (!c)
-        return make_error_response(400, why);
+        return make_error_response(400, reason);
     if (c->name == "release")
         return release_request(n, c->request, who, c->reason);
     const auto it = n.workers.find(c->worker);
--- a/src/node/admin_server.cpp
+++ b/src/node/admin_server.cpp
@@ -50,11 +50,11 @@
     // VM may announce.
     if (!loopback)
         return make_response(http::status::forbidden, "{}\n");
-    std::string why;
-    const auto a = parse_announcement(body, why);
+    std::string reason;
+    const auto a = parse_announcement(body, reason);
     if (!a)
         return make_response(http::status::bad_request,
-                             "{\"error\":\"" + why + "\"}\n");
+                             "{\"error\":\"" + reason + "\"}\n");
     handle_announcement(n, *a);
     return make_response(http::status::ok, "{}\n");
 }
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -28,13 +28,13 @@
         text_hash(n.settings.name + "/" + a.name + "/" + to_hex(a.boot)));
 }
 
-void remove_worker(node_state& n, worker_id id, const std::string& why)
+void remove_worker(node_state& n, worker_id id, const std::string& reason)
 {
     const auto it = n.workers.find(id);
     if (it == n.workers.end())
         return;
     n.events.write(event_id::worker_gone, it->second.name,
-                   "service=" + it->second.service + " reason=" + why);
+                   "service=" + it->second.service + " reason=" + reason);
     deliver_gate_decisions(n, gate_remove_worker(n.local_gate, id, mono_now()));
     n.workers.erase(it);
 }
@@ -104,13 +104,13 @@
 } // namespace
 
 std::optional<announcement> parse_announcement(const std::string& text,
-                                               std::string& why)
+                                               std::string& reason)
 {
     json::error_code ec;
     const auto v = json::parse(text, ec);
     const auto* o = ec ? nullptr : v.if_object();
     if (o == nullptr) {
-        why = "expected a JSON object";
+        reason = "expected a JSON object";
         return std::nullopt;
     }
     announcement a;
@@ -120,7 +120,7 @@
         const auto* x = o->if_contains(key);
         const auto k = x && x->is_int64() ? x->as_int64() : default_value;
         if (k < min_value || k > max_value)
-            why = std::string(key) + " is out of bounds";
+            reason = std::string(key) + " is out of bounds";
         return k;
     };
     const auto string_field = [&](const char* key) {
@@ -138,8 +138,8 @@
     if (!string_field("ip").empty())
         a.ip = string_field("ip");
     if (a.name.empty() || a.service.empty() || !is_ipv4(a.ip))
-        why = "name, service and an IPv4 ip are required";
-    if (!why.empty())
+        reason = "name, service and an IPv4 ip are required";
+    if (!reason.empty())
         return std::nullopt;
     return a;
 }
@@ -196,9 +196,9 @@
     publish_self(n);
 }
 
-void deregister_worker(node_state& n, worker_id id, const std::string& why)
+void deregister_worker(node_state& n, worker_id id, const std::string& reason)
 {
-    remove_worker(n, id, why);
+    remove_worker(n, id, reason);
     publish_self(n);
 }
 
--- a/src/node/announce.hpp
+++ b/src/node/announce.hpp
@@ -5,17 +5,17 @@
 
 namespace jasminetray {
 
-/// Parses an announcement in JSON; sets `why` when it is invalid.
+/// Parses an announcement in JSON; sets `reason` when it is invalid.
 std::optional<announcement> parse_announcement(const std::string& json,
-                                               std::string& why);
+                                               std::string& reason);
 
 /// Adds, updates or removes a backend server as it announces.
 /// @return its id
 worker_id handle_announcement(node_state& n, const announcement& a);
 
 /// Removes a backend server; its queued work is refused as not run.
-/// @param why reason for the log
-void deregister_worker(node_state& n, worker_id id, const std::string& why);
+/// @param reason text for the log
+void deregister_worker(node_state& n, worker_id id, const std::string& reason);
 
 /// Wakes queued work with the gate's decisions.
 void deliver_gate_decisions(node_state& n,
--- a/src/node/config_actor.cpp
+++ b/src/node/config_actor.cpp
@@ -73,8 +73,8 @@
             }
         }
     }
-    store_error last{};
-    auto found = x.options.has_store ? x.options.store.get_object(name, last)
+    store_error error{};
+    auto found = x.options.has_store ? x.options.store.get_object(name, error)
                                      : std::nullopt;
     if (matches_hash(found))
         x.cache->put(hash, *found);
@@ -108,11 +108,12 @@
     const auto hash = text_hash(text);
     if (hash == k.rejected_hash)
         return;
-    std::string why;
-    auto c = x.options.documents.parse(text, why);
+    std::string reason;
+    auto c = x.options.documents.parse(text, reason);
     if (!c) {
         k.rejected_hash = hash;
-        x.events->write(event_id::config_refused, "hash-" + to_hex(hash), why);
+        x.events->write(event_id::config_refused, "hash-" + to_hex(hash),
+                        reason);
         return;
     }
     if (c->version <= k.in_force)
@@ -148,10 +149,10 @@
     ++k.rounds;
     if (fetch_from_peer(k, k.sources.near) || k.rounds < first_store_round)
         return;
-    store_error last{};
+    store_error error{};
     const auto row =
         x.options.has_store
-            ? x.options.store.read_row(x.options.documents.at, last)
+            ? x.options.store.read_row(x.options.documents.at, error)
             : std::nullopt;
     if (row)
         return apply_document(k, row->value);
@@ -159,7 +160,7 @@
         x.events->write(event_id::config_fetch_failed,
                         "version-" + std::to_string(k.newest_known.version),
                         "tries=" + std::to_string(k.rounds) + " store=" +
-                            std::string(name_of(store_error_names, last)));
+                            std::string(name_of(store_error_names, error)));
     }
 }
 
@@ -175,13 +176,13 @@
     }
     const auto version = k.newest_known.version;
     const auto subject = "version-" + std::to_string(version);
-    std::string why;
+    std::string reason;
     k.referenced_hashes.clear();
     const auto files = load_files(
         k.newest_known.manifest,
-        [&](const std::string& name) { return fetch_object(k, name); }, why);
+        [&](const std::string& name) { return fetch_object(k, name); }, reason);
     if (!files) {
-        x.events->write(event_id::config_fetch_failed, subject, why);
+        x.events->write(event_id::config_fetch_failed, subject, reason);
         return;
     }
     config_error wrong;
@@ -198,8 +199,8 @@
 void poll_head(caf::event_based_actor* self, config_actor_state& k,
                const caf::actor& members)
 {
-    store_error last{};
-    const auto head = read_head(k.context->options.store, last);
+    store_error error{};
+    const auto head = read_head(k.context->options.store, error);
     record_store_state(*k.context, k.reachable, head.has_value(), "");
     if (!head || head->version <= k.newest_known.version)
         return;
--- a/src/node/exit_server.cpp
+++ b/src/node/exit_server.cpp
@@ -205,24 +205,24 @@
 gate_error admit_work(node_state& n, exit_request& w, beast::tcp_stream& stream,
                       const yield& y)
 {
-    gate_error last{};
+    gate_error error{};
     const auto since = mono_now();
     // Matched by content: a resubmitted request has another id and would crash
     // the next process too.
     if (is_quarantined(n, w.message, w.fingerprint_cache))
         return refuse_quarantined(n, w);
     const auto a = gate_admit(command_mode::apply, n.local_gate, w.request,
-                              since, last, n.safeguards.gate);
+                              since, error, n.safeguards.gate);
     if (!a)
-        return last;
+        return error;
     if (*a != admission::queued)
         return gate_error::none;
-    last = wait_for_slot(n, w, stream, y);
-    log_queue_wait(n, w, since, last);
-    if (last == gate_error::none &&
+    error = wait_for_slot(n, w, stream, y);
+    log_queue_wait(n, w, since, error);
+    if (error == gate_error::none &&
         is_quarantined(n, w.message, w.fingerprint_cache))
         return withdraw_quarantined(n, w);
-    return last;
+    return error;
 }
 
 /// Handles a notice from an entry node that shuts down. Queued work that can't
--- a/src/node/feed_actor.cpp
+++ b/src/node/feed_actor.cpp
@@ -37,33 +37,33 @@
 
 /// Returns changed rows, or all rows on the first call and after the store has
 /// dropped the change history.
-std::optional<row_list> read_rows(feed_actor_state& k, store_error& last)
+std::optional<row_list> read_rows(feed_actor_state& k, store_error& error)
 {
     const auto& store = k.context->options.store;
     const auto& table = k.context->options.documents.at.table;
     if (!k.position)
-        return store.list_rows(table, last);
+        return store.list_rows(table, error);
     const bool prove = k.context->options.settings.hosted.revocation_bound > 0;
     const auto shortest = prove ? min_proof_wait : min_wait;
     const auto span = (prove ? max_proof_wait : max_wait) - shortest;
     const auto wait = shortest + static_cast<span_us>(random_below(
                                      k.rng, static_cast<std::uint64_t>(span)));
-    return store.watch_rows(table, *k.position, wait, last);
+    return store.watch_rows(table, *k.position, wait, error);
 }
 
 void read_next(caf::event_based_actor* self, feed_actor_state& k,
                const caf::actor& config, const caf::actor& members)
 {
-    store_error last{};
+    store_error error{};
     const auto sent = uptime_now();
-    const auto found = read_rows(k, last);
-    if (!found && last == store_error::too_old) {
+    const auto found = read_rows(k, error);
+    if (!found && error == store_error::too_old) {
         k.position.reset();
         return;
     }
     record_store_state(*k.context, k.reachable, found.has_value(),
                        "error=" +
-                           std::string(name_of(store_error_names, last)));
+                           std::string(name_of(store_error_names, error)));
     if (!found) {
         k.backoff = reader_backoff(k.backoff, k.ranked);
         return;
--- a/src/node/member_actor.cpp
+++ b/src/node/member_actor.cpp
@@ -139,9 +139,9 @@
 
 void handle_datagram(member_actor_state& k, const datagram_message& d)
 {
-    wire_error last{};
-    const auto m = decode_message(d.bytes, k.context->options.keys, last);
-    k.context->callbacks.datagram_received(last, d.bytes.size());
+    wire_error error{};
+    const auto m = decode_message(d.bytes, k.context->options.keys, error);
+    k.context->callbacks.datagram_received(error, d.bytes.size());
     if (!m)
         return;
     if (m->kind == gossip_kind::baseline_request ||
--- a/src/node/node_main.cpp
+++ b/src/node/node_main.cpp
@@ -27,11 +27,11 @@
 constexpr int exit_bad_settings = 2;
 
 bool apply_override(node_settings& s, const std::string& text,
-                    config_error& last)
+                    config_error& error)
 {
     const auto equals = text.find('=');
     const auto dot = text.find('.');
-    last = {"--set", 0, "expected section.key=value, got '" + text + "'"};
+    error = {"--set", 0, "expected section.key=value, got '" + text + "'"};
     if (equals == std::string::npos || dot > equals)
         return false;
     const auto section = text.substr(0, dot);
@@ -39,28 +39,28 @@
     for (const auto& x : settings_table) {
         if (x.section != section || x.row.key != key)
             continue;
-        last.reason = "bad value for " + section + "." + key + ": expected " +
-                      std::string(x.row.expects);
+        error.reason = "bad value for " + section + "." + key + ": expected " +
+                       std::string(x.row.expects);
         return x.row.set(s, text.substr(equals + 1));
     }
-    last.reason = "unknown setting " + section + "." + key;
+    error.reason = "unknown setting " + section + "." + key;
     return false;
 }
 
-std::optional<node_settings> load_settings(config_error& last)
+std::optional<node_settings> load_settings(config_error& error)
 {
     auto s = FLAGS_settings.empty()
                  ? std::optional<node_settings>(node_settings{})
-                 : read_settings(FLAGS_settings, last);
+                 : read_settings(FLAGS_settings, error);
     if (!s)
         return std::nullopt;
     for (const auto& text : split(FLAGS_set, ';')) {
-        if (!apply_override(*s, text, last))
+        if (!apply_override(*s, text, error))
             return std::nullopt;
     }
     s->safeguards_off = FLAGS_safeguards_off;
     if (!check_settings(*s, FLAGS_settings.empty() ? "--set" : FLAGS_settings,
-                        last))
+                        error))
         return std::nullopt;
     return s;
 }
@@ -84,10 +84,10 @@
     google::InitGoogleLogging(argv[0]);
     if (sodium_init() < 0)
         return 1;
-    jasminetray::config_error last;
-    const auto s = jasminetray::load_settings(last);
+    jasminetray::config_error error;
+    const auto s = jasminetray::load_settings(error);
     if (!s) {
-        std::cerr << last.text() << "\n";
+        std::cerr << error.text() << "\n";
         return jasminetray::exit_bad_settings;
     }
     return jasminetray::run_node(*s);
--- a/src/node/node_run.cpp
+++ b/src/node/node_run.cpp
@@ -100,7 +100,8 @@
     int open_revokes = 0;         ///< invariant: <= max_revokes
 };
 
-bool listen(tcp::acceptor& a, const std::string& ip, int port, std::string& why)
+bool listen(tcp::acceptor& a, const std::string& ip, int port,
+            std::string& reason)
 {
     beast::error_code ec;
     const tcp::endpoint at(asio::ip::make_address_v4(ip),
@@ -111,7 +112,7 @@
     if (!ec)
         a.listen(asio::socket_base::max_listen_connections, ec);
     if (ec)
-        why = ip + ":" + std::to_string(port) + ": " + ec.message();
+        reason = ip + ":" + std::to_string(port) + ": " + ec.message();
     return !ec;
 }
 
@@ -364,7 +365,7 @@
     return !s.hosted.control.empty();
 }
 
-bool open_hosted_listeners(node_parts& p, std::string& why)
+bool open_hosted_listeners(node_parts& p, std::string& reason)
 {
     const auto& h = p.settings.hosted;
     const auto control = parse_host_port(h.control);
@@ -372,33 +373,33 @@
     if (!is_hosted(p.settings))
         return true;
     if (!ready) {
-        why = "[hosted] ready is missing";
+        reason = "[hosted] ready is missing";
         return false;
     }
-    return listen(p.hosted_control, control->ip, control->port, why) &&
-           listen(p.hosted_ready, ready->ip, ready->port, why);
+    return listen(p.hosted_control, control->ip, control->port, reason) &&
+           listen(p.hosted_ready, ready->ip, ready->port, reason);
 }
 
-bool open_sockets(node_parts& p, std::string& why)
+bool open_sockets(node_parts& p, std::string& reason)
 {
     const auto& s = p.settings;
     beast::error_code ec;
-    if (!listen(p.entry, s.ip, s.entry_port, why) ||
-        !listen(p.exit, s.ip, s.exit_port, why) ||
-        !listen(p.admin, s.admin_ip, s.admin_port, why) ||
-        !open_hosted_listeners(p, why))
+    if (!listen(p.entry, s.ip, s.entry_port, reason) ||
+        !listen(p.exit, s.ip, s.exit_port, reason) ||
+        !listen(p.admin, s.admin_ip, s.admin_port, reason) ||
+        !open_hosted_listeners(p, reason))
         return false;
     p.gossip.open(udp::v4(), ec);
     p.gossip.bind({asio::ip::make_address_v4(s.ip),
                    static_cast<std::uint16_t>(s.gossip_port)},
                   ec);
     if (ec) {
-        why = "gossip port: " + ec.message();
+        reason = "gossip port: " + ec.message();
         return false;
     }
     p.gossip.non_blocking(true, ec);
     p.rpc = peer_server::make(s.ip, static_cast<std::uint16_t>(s.rpc_port),
-                              make_handlers(p), why);
+                              make_handlers(p), reason);
     return p.rpc != nullptr;
 }
 
@@ -563,9 +564,9 @@
     // Keeps the node running when the reader of its log disconnects.
     std::signal(SIGPIPE, SIG_IGN);
     node_parts p(s);
-    std::string why;
-    if (!open_sockets(p, why)) {
-        std::cerr << "cannot listen: " << why << "\n";
+    std::string reason;
+    if (!open_sockets(p, reason)) {
+        std::cerr << "cannot listen: " << reason << "\n";
         return exit_listen;
     }
     init_node_state(p);
--- a/src/node/presence_actor.cpp
+++ b/src/node/presence_actor.cpp
@@ -59,11 +59,11 @@
 /// its newest process is the one to be found.
 bool write_row(const presence_actor_state& k)
 {
-    store_error last{};
+    store_error error{};
     row_write w;
     w.name = own_row(k);
     w.value = contact_text(k.context->options.self);
-    return k.context->options.store.write_rows({w}, last);
+    return k.context->options.store.write_rows({w}, error);
 }
 
 std::vector<contact> parse_rows(const presence_actor_state& k,
@@ -85,9 +85,9 @@
 bool read_contacts(caf::event_based_actor* self, const presence_actor_state& k,
                    const caf::actor& members)
 {
-    store_error last{};
+    store_error error{};
     const auto sent = uptime_now();
-    const auto list = k.context->options.store.list_rows(node_table, last);
+    const auto list = k.context->options.store.list_rows(node_table, error);
     if (!list)
         return false;
     if (list->store_time)
@@ -100,14 +100,14 @@
 /// its address.
 void remove_row(const presence_actor_state& k)
 {
-    store_error last{};
+    store_error error{};
     row_write w;
     w.name = own_row(k);
     w.remove = true;
-    if (!k.context->options.store.write_rows({w}, last)) {
+    if (!k.context->options.store.write_rows({w}, error)) {
         k.context->events->write(
             event_id::contact_kept, k.context->options.self.name,
-            "error=" + std::string(name_of(store_error_names, last)));
+            "error=" + std::string(name_of(store_error_names, error)));
     }
 }
 
--- a/src/node/quarantine_store.cpp
+++ b/src/node/quarantine_store.cpp
@@ -58,8 +58,8 @@
 void read_rows(node_state& n, span_us backoff)
 {
     asio::post(*n.blocking_pool, [&n, backoff, store = n.store] {
-        store_error last{};
-        const auto list = store.list_rows(quarantine_table, last);
+        store_error error{};
+        const auto list = store.list_rows(quarantine_table, error);
         asio::post(n.ctx, [&n, backoff, list] {
             if (list)
                 return apply_rows(n, *list);
@@ -73,16 +73,16 @@
 void write_row(node_state& n, const row_write& w, span_us backoff, int attempts)
 {
     asio::post(*n.blocking_pool, [&n, w, backoff, attempts, store = n.store] {
-        store_error last{};
+        store_error error{};
         const bool done =
-            store.write_rows({w}, last) || last == store_error::missing;
-        asio::post(n.ctx, [&n, w, backoff, attempts, done, last] {
+            store.write_rows({w}, error) || error == store_error::missing;
+        asio::post(n.ctx, [&n, w, backoff, attempts, done, error] {
             if (done)
                 return;
             if (attempts >= max_write_attempts) {
                 n.events.write(
                     event_id::quarantine_not_stored, w.name.key,
-                    "error=" + std::string(name_of(store_error_names, last)));
+                    "error=" + std::string(name_of(store_error_names, error)));
                 return;
             }
             run_after_backoff(n, backoff, [&n, w, backoff, attempts] {
--- a/src/node/settings_reload.cpp
+++ b/src/node/settings_reload.cpp
@@ -24,10 +24,10 @@
 
 void reload_settings(node_settings& settings, node_state& n)
 {
-    config_error last;
-    const auto s = read_settings(settings.file, last);
-    if (!s || !check_settings(*s, settings.file, last)) {
-        n.events.write(event_id::settings_refused, settings.name, last.text());
+    config_error error;
+    const auto s = read_settings(settings.file, error);
+    if (!s || !check_settings(*s, settings.file, error)) {
+        n.events.write(event_id::settings_refused, settings.name, error.text());
         return;
     }
     settings.stamp_bound = s->stamp_bound;
--- a/src/stand_in/backend_main.cpp
+++ b/src/stand_in/backend_main.cpp
@@ -257,9 +257,9 @@
             return;
         asio::post(
             pool, [to, body = serialize_announcement(b, port, boot, leaving)] {
-                http_error last{};
+                http_error error{};
                 send_http_request(
-                    {*to, "POST", "/announce", body, {}, us_per_s / 2}, last);
+                    {*to, "POST", "/announce", body, {}, us_per_s / 2}, error);
             });
     }
 };
