--- a/test/fuzz_incarnation.cpp
+++ b/test/fuzz_incarnation.cpp
@@ -126,7 +126,7 @@
         const bool accepted =
             current || status == jt::announcement_status::departed;
         // The first announcement of a dead process that started later by a
-        // clock which stepped back since can't be told from a restart;
+        // clock which stepped back since looks like a restart;
         // check_recovery() covers it.
         const auto seen = last_seen.find(a.name);
         if (accepted && !is_alive(w.sender) &&
--- a/test/test_core.cpp
+++ b/test/test_core.cpp
@@ -43,7 +43,7 @@
 }
 
 // The entry node reports "not run" after a revoke. A request that arrives later
-// on a connection believed dead must not run.
+// on a connection considered dead must not run.
 TEST(gate, request_after_revoke_is_refused)
 {
     auto g = make_gate(2);
