--- a/src/node/admin_cmd.cpp
+++ b/src/node/admin_cmd.cpp
@@ -59,10 +59,10 @@
     const auto* force = o.if_contains("force");
     c.force = force && force->is_bool() && force->as_bool();
     if (!target)
-        reason = release ? "fingerprint must be a request fingerprint in hex"
-                         : "worker must be a backend server id in hex";
+        reason = release ? "fingerprint must be a request's in hex"
+                         : "worker must be a backend server's id in hex";
     else if (c.reason.empty())
-        reason = "a reason is required";
+        reason = "a reason is needed";
     else if (c.seconds < 1 || c.seconds > max_seconds)
         reason = "seconds must be 1 to 86400";
     if (!reason.empty())
@@ -123,7 +123,7 @@
 {
     if (!is_authorized(n, who)) {
         n.events.write(event_id::operator_denied, who.name, "");
-        return make_error_response(403, "a valid token is required");
+        return make_error_response(403, "a valid token is needed");
     }
     std::string reason;
     const auto c = parse_command(request, reason);
--- a/src/node/admin_query.cpp
+++ b/src/node/admin_query.cpp
@@ -131,8 +131,8 @@
         return std::nullopt;
     const auto it = n.view.nodes.find(id->entry);
     if (it == n.view.nodes.end())
-        return json::object{{"error", "the entry node of this request is no "
-                                      "longer a member"}};
+        return json::object{
+            {"error", "the entry node of this request is no member any more"}};
     const auto& r = it->second.record;
     return json::object{{"ask", asio::ip::address_v4(r.address.ip).to_string() +
                                     ":" + std::to_string(r.address.rpc_port)},
--- a/src/node/announce.cpp
+++ b/src/node/announce.cpp
@@ -138,7 +138,7 @@
     if (!string_field("ip").empty())
         a.ip = string_field("ip");
     if (a.name.empty() || a.service.empty() || !is_ipv4(a.ip))
-        reason = "name, service and an IPv4 ip are required";
+        reason = "name, service and an IPv4 ip are needed";
     if (!reason.empty())
         return std::nullopt;
     return a;
