--- a/tools/bound.py
+++ b/tools/bound.py
@@ -1,37 +1,39 @@
 #!/usr/bin/env python3
-"""Upper bound of what a site's backend servers can serve, by capacity alone.
+"""Computes an upper bound of the load that a site's backend servers can serve.
 
     tools/bound.py SITE.toml...
 
-Each class takes slot time at its service and, by its calls, at others; sick
-backend servers answer only what they do not fail. The bound is the best mix
-of classes within those slots, every slot always busy, nothing lost to queues,
-retries, distance or changes. Prints the share of worth and of requests that
-the best mix serves, for the load as it is written and for a third more.
+Each class takes slot time at its service and, through its calls, at others;
+slots of failing backend servers count for the share of requests that succeeds.
+The bound is the best mix of classes with all slots busy and no other losses.
+Prints the share of worth and of requests served, at the given load and at
+4/3 of it.
 """
 import itertools
 import sys
 import tomllib
 
-STEPS = 20  # of each class's share served
+STEPS = 20  # of the served share
 MS = 1000
 
 
 def capacity(site):
-    """Usable slots by service."""
-    hosts = {}
+    """Returns usable slots by service."""
+    machines = {}
     for m in site["machines"]:
-        hosts[m.get("app", "")] = hosts.get(m.get("app", ""), 0) + m["count"]
+        app = m.get("app", "")
+        machines[app] = machines.get(app, 0) + m["count"]
     slots = {}
     for s in site["services"]:
-        sick = s.get("noise", {})
-        well = 1 - sick.get("share", 0) * sick.get("fails", 0)
-        slots[s["name"]] = hosts.get(s["name"], 0) * s["slots"] * well
+        noise = s.get("noise", {})
+        answered_share = 1 - noise.get("share", 0) * noise.get("fails", 0)
+        slots[s["name"]] = (machines.get(s["name"], 0) * s["slots"]
+                            * answered_share)
     return slots
 
 
 def slot_time(classes, name):
-    """Seconds of slots that one request takes, by service."""
+    """Returns the slot seconds that one request takes, by service."""
     c = classes[name]
     total = {c["service"]: c["work_ms"]["mean"] / MS}
     for call in c.get("calls", []):
@@ -42,37 +44,38 @@
 
 
 def rates(site):
-    """Requests a second by class."""
+    """Returns requests per second by class."""
     per_class = {}
     for t in site["traffic"]:
-        whole = sum(t["mix"].values())
-        for name, part in t["mix"].items():
-            rate = t["per_s"] * part / whole
+        weight_sum = sum(t["mix"].values())
+        for name, weight in t["mix"].items():
+            rate = t["per_s"] * weight / weight_sum
             per_class[name] = per_class.get(name, 0) + rate
     return per_class
 
 
 def best_mix(site, factor):
-    """Best shares of worth and of requests at a multiple of the load."""
+    """Returns the best shares of worth and of requests at a load factor."""
     classes = {c["name"]: c for c in site["classes"]}
-    asked = {k: v * factor for k, v in rates(site).items()}
-    names = sorted(asked)
-    need = {n: slot_time(classes, n) for n in names}
+    offered = {k: v * factor for k, v in rates(site).items()}
+    names = sorted(offered)
+    slot_seconds = {n: slot_time(classes, n) for n in names}
     slots = capacity(site)
-    owed = sum(asked[n] * classes[n]["worth"] for n in names)
+    total_worth = sum(offered[n] * classes[n]["worth"] for n in names)
     best = (0.0, 0.0)
     for mix in itertools.product(range(STEPS + 1), repeat=len(names)):
         share = dict(zip(names, (k / STEPS for k in mix)))
         used = {}
         for n in names:
-            for service, seconds in need[n].items():
+            for service, seconds in slot_seconds[n].items():
                 used[service] = (used.get(service, 0)
-                                 + share[n] * asked[n] * seconds)
+                                 + share[n] * offered[n] * seconds)
         if any(used[s] > slots[s] for s in used):
             continue
-        worth = sum(share[n] * asked[n] * classes[n]["worth"] for n in names)
-        served = sum(share[n] * asked[n] for n in names) / sum(asked.values())
-        best = max(best, (worth / owed, served))
+        worth = sum(share[n] * offered[n] * classes[n]["worth"] for n in names)
+        served = (sum(share[n] * offered[n] for n in names)
+                  / sum(offered.values()))
+        best = max(best, (worth / total_worth, served))
     return best
 
 
--- a/tools/check_can_fail.py
+++ b/tools/check_can_fail.py
@@ -1,14 +1,13 @@
-"""Shows that the checks of the fault runs can fail: with one safeguard off,
-a fault that it is meant for must break the promise."""
+"""Checks that the fault runs can fail: with a safeguard disabled, the fault
+that it handles must cause a violation."""
 
 import sys
 
 import faults
 
-# Case, faults that strike all backend servers, safeguard, promise. A blind
-# retry needs an answer that was lost, and one backend server that cuts is
-# ejected after two or three: on a slow machine not one retry came in time. Of
-# six that all cut, three at least stay in use, by the floor.
+# Case, faults applied to all backend servers, safeguard, violation. A retry
+# needs a lost response, so all backend servers cut responses in that case: a
+# single one may be ejected first, while the floor keeps half of them in use.
 CASES = (
     (("crossed",), (), "echo", "wrong_answers"),
     (("late", "cut"), ("cut",), "retry", "double_runs"),
@@ -17,14 +16,15 @@
 
 
 def main():
-    missed = 0
-    for case, everywhere, off, promise in CASES:
-        found = faults.run_case(case, ["--safeguards_off=" + off], everywhere)
-        print("%s without %s: %s=%d" % ("+".join(case), off, promise,
-                                        found[promise]))
-        missed += found[promise] == 0
-    print("check_can_fail: missed=%d" % missed)
-    return 1 if missed else 0
+    undetected = 0
+    for case, on_all, safeguard, violation in CASES:
+        counts = faults.run_case(case, ["--safeguards_off=" + safeguard],
+                                 on_all)
+        print("%s without %s: %s=%d" % ("+".join(case), safeguard, violation,
+                                        counts[violation]))
+        undetected += counts[violation] == 0
+    print("check_can_fail: missed=%d" % undetected)
+    return 1 if undetected else 0
 
 
 if __name__ == "__main__":
--- a/tools/churn.py
+++ b/tools/churn.py
@@ -1,6 +1,6 @@
-"""Sixty real nodes while the store is out: every one is killed and replaced
-in turn, some are paused meanwhile; the fleet keeps members and
-configuration, and takes a new one when the store is back."""
+"""Replaces the nodes of a fleet during a store outage, with one node paused at
+a time: membership and configuration must survive, and a new configuration must
+be accepted after the outage."""
 
 import signal
 import sys
@@ -8,35 +8,35 @@
 import fleet
 
 NODES = int(sys.argv[1]) if len(sys.argv) > 1 else 60
-CENTRES = ("a", "b", "c", "d")
+DATA_CENTRES = ("a", "b", "c", "d")
 BATCH = max(1, NODES // 6)
 CONFIG = "[fleet]\nname = churn\n[service s]\nfloor = 50%%\n" \
          "[route r]\npath = /%d\nservice = s\n"
 
 
 def launch(f, numbers):
-    nodes = [f.launch_node("n%d" % n, CENTRES[n % len(CENTRES)])
+    nodes = [f.launch_node("n%d" % n, DATA_CENTRES[n % len(DATA_CENTRES)])
              for n in numbers]
     for n in nodes:
         n.wait_ready(60)
 
 
-def wait_members(f, bound):
+def wait_members(f, timeout):
     def all_known(node):
-        answer = f.ask(node, {"query": "fleet"})
-        alive = [n for n in answer["nodes"] if n["state"] != "dead"]
+        response = f.ask(node, {"query": "fleet"})
+        alive = [n for n in response["nodes"] if n["state"] != "dead"]
         return len(alive) == len(f.nodes)
     f.wait("all members known everywhere",
-           lambda: all(all_known(n) for n in f.nodes), bound)
+           lambda: all(all_known(n) for n in f.nodes), timeout)
 
 
 def replace(f, numbers):
-    """Kills nodes and starts others in their place, with the same names."""
+    """Kills nodes and starts replacements of the same names."""
     for n in numbers:
         f.nodes["n%d" % n].stop(signal.SIGKILL)
         del f.nodes["n%d" % n]
     launch(f, numbers)
-    # The next ones go when these are ready, as any rolling replacement does.
+    # A rolling replacement waits for readiness before the next batch.
     f.wait("replaced nodes are ready", lambda: all(
         f.ask("n%d" % n, {"query": "status"})["config_version"] >= 1
         for n in numbers), 30)
@@ -49,7 +49,7 @@
         launch(f, range(4, NODES))
         f.wait_config(f.submit_text(CONFIG % 1), 60)
         wait_members(f, 60)
-        f.fault(mode="down")
+        f.set_platform_fault(mode="down")
         paused = "n%d" % (NODES - 1)
         for first in range(0, NODES, BATCH):
             batch = range(first, min(first + BATCH, NODES))
@@ -62,7 +62,7 @@
                           fleet.ROOT + "/examples/hinoha",
                           "--platform=" + f.platform.address())
         print("store out: exit %d, %s" % (code, out.strip()))
-        f.fault(mode="none")
+        f.set_platform_fault(mode="none")
         f.wait_config(f.submit_text(CONFIG % 3), 60)
         print("churn: nodes=%d replaced=%d members_kept=1 config_kept=1 "
               "refused_while_out=%d" % (NODES, NODES - 1, code == 3))
--- a/tools/compare.py
+++ b/tools/compare.py
@@ -1,7 +1,5 @@
-"""Compares two trees, or one tree under two settings, on the same days, sites
-and seeds: paired differences with medians and bootstrap intervals, a table, a
-JSON file and a plot. The measuring program is named on the command line; CI
-does not need it.
+"""Compares two trees on the same sites, days and seeds: paired differences
+with medians and bootstrap intervals, as a table, a JSON file and a plot.
 
 Usage: compare.py --bench PROGRAM --a TREE --b TREE --site FILE... --day DAY...
        [--seeds N] [--jobs N] [--full] [--why TEXT] [--out PREFIX]
@@ -20,11 +18,11 @@
 ROW = re.compile(r"^(\S+)\s+\d+/\d+\s+(\S+)\s+(\S+)\s+(\S+)\s+(\S+)\s+(\S+)"
                  r"\s+(.*)$")
 SNAPSHOT = re.compile(r"^snapshot (\w+)", re.M)
-DRAWS = 2000  # of the bootstrap
+BOOTSTRAP_SAMPLES = 2000
 
 
-def play(bench, tree, site, day, seed, full, why):
-    """One day; its worth, share served, broken rules and journal entry."""
+def run_day(bench, tree, site, day, seed, full, why):
+    """Runs one day; returns worth, served share, broken rules and entry."""
     command = [bench, "run", site, day, "--no-cpu", "--why", why, "--jobs",
                "1"]
     if seed:
@@ -33,41 +31,43 @@
         command.append("--small")
     run = subprocess.run(command, cwd=tree, capture_output=True, text=True)
     for line in run.stdout.splitlines():
-        m = ROW.match(line)
-        if m and m.group(1) != "day":
+        match = ROW.match(line)
+        if match and match.group(1) != "day":
             entry = SNAPSHOT.search(run.stdout)
-            return {"worth": float(m.group(3)), "served": float(m.group(4)),
-                    "broken": m.group(7).partition("BROKEN: ")[2],
+            return {"worth": float(match.group(3)),
+                    "served": float(match.group(4)),
+                    "broken": match.group(7).partition("BROKEN: ")[2],
                     "entry": entry.group(1) if entry else ""}
     return {"error": (run.stdout + run.stderr)[-400:]}
 
 
 def interval(differences):
-    """Nine tenths of the means of samples drawn again."""
+    """Returns the 0.9 bootstrap interval of the mean."""
     rng = random.Random(1)
     means = sorted(statistics.mean(rng.choices(differences,
                                                k=len(differences)))
-                   for _ in range(DRAWS))
-    return means[DRAWS // 20], means[-DRAWS // 20]
+                   for _ in range(BOOTSTRAP_SAMPLES))
+    return means[BOOTSTRAP_SAMPLES // 20], means[-BOOTSTRAP_SAMPLES // 20]
 
 
-def row_of(name, pairs):
-    d = [b["worth"] - a["worth"] for a, b in pairs]
-    low, high = interval(d)
+def make_row(name, pairs):
+    differences = [b["worth"] - a["worth"] for a, b in pairs]
+    low, high = interval(differences)
     mean = statistics.mean
-    return {"name": name, "pairs": len(d),
+    return {"name": name, "pairs": len(differences),
             "a": mean(a["worth"] for a, _ in pairs),
             "b": mean(b["worth"] for _, b in pairs),
             "served_a": mean(a["served"] for a, _ in pairs),
             "served_b": mean(b["served"] for _, b in pairs),
-            "mean": mean(d), "median": statistics.median(d),
+            "mean": mean(differences),
+            "median": statistics.median(differences),
             "low": low, "high": high,
             "broken_a": [a["broken"] for a, _ in pairs if a["broken"]],
             "broken_b": [b["broken"] for _, b in pairs if b["broken"]]}
 
 
 def plot(rows, path):
-    """One line a row: the interval, and the mean as a dot."""
+    """Draws the interval of each row as a line and its mean as a dot."""
     scale, middle, step = 1200, 420, 24
     out = ['<svg xmlns="http://www.w3.org/2000/svg" width="760" height="%d" '
            'font-family="sans-serif" font-size="12">' %
@@ -88,7 +88,7 @@
         f.write("\n".join(out) + "\n")
 
 
-def show(rows):
+def print_table(rows):
     print("| days | pairs | a | b | mean b-a | median | 0.9 interval | "
           "served a, b | broken a, b |\n|---|---|---|---|---|---|---|---|---|")
     for r in rows:
@@ -100,29 +100,29 @@
 
 
 def main():
-    p = argparse.ArgumentParser()
+    parser = argparse.ArgumentParser()
     for name in ("--bench", "--a", "--b"):
-        p.add_argument(name, required=True)
-    p.add_argument("--site", nargs="+", required=True)
-    p.add_argument("--day", nargs="+", required=True)
-    p.add_argument("--seeds", type=int, default=1)
-    p.add_argument("--jobs", type=int, default=4)
-    p.add_argument("--full", action="store_true")
-    p.add_argument("--why", default="trial: two ways compared")
-    p.add_argument("--out", default="out/compare")
-    x = p.parse_args()
-    for tree in {x.a, x.b}:
-        subprocess.run([x.bench, "build"], cwd=tree, check=True,
+        parser.add_argument(name, required=True)
+    parser.add_argument("--site", nargs="+", required=True)
+    parser.add_argument("--day", nargs="+", required=True)
+    parser.add_argument("--seeds", type=int, default=1)
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("--full", action="store_true")
+    parser.add_argument("--why", default="trial: two ways compared")
+    parser.add_argument("--out", default="out/compare")
+    args = parser.parse_args()
+    for tree in {args.a, args.b}:
+        subprocess.run([args.bench, "build"], cwd=tree, check=True,
                        stdout=subprocess.DEVNULL)
-    # The first seed is the day's own.
-    jobs = [(site, day, seed) for site in x.site for day in x.day
-            for seed in range(x.seeds)]
-    with concurrent.futures.ThreadPoolExecutor(x.jobs) as pool:
-        played = [(j, [pool.submit(play, x.bench, tree, *j, x.full,
-                                   x.why + " (" + side + ")")
-                       for side, tree in (("a", x.a), ("b", x.b))])
-                  for j in jobs]
-        done = [(j, [f.result() for f in pair]) for j, pair in played]
+    # Seed 0 stands for the seed of the day file.
+    jobs = [(site, day, seed) for site in args.site for day in args.day
+            for seed in range(args.seeds)]
+    with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
+        submitted = [(j, [pool.submit(run_day, args.bench, tree, *j, args.full,
+                                      args.why + " (" + side + ")")
+                          for side, tree in (("a", args.a), ("b", args.b))])
+                     for j in jobs]
+        done = [(j, [f.result() for f in pair]) for j, pair in submitted]
     rows, failed, by_site = [], 0, {}
     for j, pair in done:
         if any("error" in r for r in pair):
@@ -132,20 +132,20 @@
         site = os.path.basename(j[0]).replace(".toml", "")
         by_site.setdefault(site, {}).setdefault(j[1], []).append(pair)
     for site, days in by_site.items():
-        rows += [row_of(site + " " + day, pairs)
+        rows += [make_row(site + " " + day, pairs)
                  for day, pairs in days.items()]
-        rows.append(row_of(site + " all", sum(days.values(), [])))
+        rows.append(make_row(site + " all", sum(days.values(), [])))
     if by_site:
-        rows.append(row_of("all", [pair for days in by_site.values()
-                                   for pairs in days.values()
-                                   for pair in pairs]))
-    os.makedirs(os.path.dirname(x.out) or ".", exist_ok=True)
-    with open(x.out + ".json", "w") as f:
-        json.dump({"a": x.a, "b": x.b, "why": x.why, "rows": rows,
+        rows.append(make_row("all", [pair for days in by_site.values()
+                                     for pairs in days.values()
+                                     for pair in pairs]))
+    os.makedirs(os.path.dirname(args.out) or ".", exist_ok=True)
+    with open(args.out + ".json", "w") as f:
+        json.dump({"a": args.a, "b": args.b, "why": args.why, "rows": rows,
                    "played": [{"day": j, "a": pair[0], "b": pair[1]}
                               for j, pair in done]}, f, indent=1)
-    plot(rows, x.out + ".svg")
-    show(rows)
+    plot(rows, args.out + ".svg")
+    print_table(rows)
     print("compare: pairs=%d not_played=%d" % (len(done) - failed, failed))
     return 1 if failed else 0
 
--- a/tools/faults.py
+++ b/tools/faults.py
@@ -1,6 +1,6 @@
-"""Real processes under each fault and each pair of faults. Every case has a
-fleet of its own: three nodes in two data centres, six backend servers of one
-service, callers that enter at two of the nodes and check each answer."""
+"""Runs a fleet under each fault and each pair of faults. Every case has its
+own fleet of three nodes in two data centres with six backend servers; callers
+at two of the nodes check each response."""
 
 import concurrent.futures
 import itertools
@@ -10,7 +10,7 @@
 
 import fleet
 
-GRAY = {
+BACKEND_FAULTS = {
     "fail": {"share": 0.7},
     "slow": {"factor": 8},
     "silent": {},
@@ -20,9 +20,9 @@
     "extra": {},
     "shed": {},
 }
-OTHER = ("node-kill", "node-pause", "backend-kill", "platform-down")
+PROCESS_FAULTS = ("node-kill", "node-pause", "backend-kill", "platform-down")
 SECONDS = 3.0
-AT_ONCE = 4
+PARALLEL_CASES = 4
 CONFIG = """[fleet]
 name = faults
 [service work]
@@ -34,7 +34,7 @@
 """
 
 
-def start(f, flags):
+def start_fleet(f, flags):
     f.start_platform()
     for name, centre in (("a1", "a"), ("a2", "a"), ("b1", "b")):
         f.start_node(name, centre, flags=flags)
@@ -49,15 +49,15 @@
     f.wait_workers("work", 6)
 
 
-def apply(f, fault, place):
-    """Applies a fault; the second of a pair strikes elsewhere."""
-    backend = ("a1-w1", "a2-w1")[place]
-    if fault in GRAY:
-        f.mode(backend, mode=fault, **GRAY[fault])
+def apply_fault(f, fault, position):
+    """Applies a fault; the faults of a pair hit different backend servers."""
+    backend = ("a1-w1", "a2-w1")[position]
+    if fault in BACKEND_FAULTS:
+        f.set_backend_mode(backend, mode=fault, **BACKEND_FAULTS[fault])
     elif fault == "backend-kill":
         f.backends[backend].send(signal.SIGKILL)
     elif fault == "platform-down":
-        f.fault(mode="down")
+        f.set_platform_fault(mode="down")
     elif fault == "node-kill":
         f.nodes["b1"].send(signal.SIGKILL)
     elif fault == "node-pause":
@@ -66,40 +66,42 @@
         f.nodes["b1"].send(signal.SIGCONT)
 
 
-def run_case(case, flags, everywhere=()):
-    """Runs one case; faults in `everywhere` strike all backend servers."""
+def run_case(case, flags, on_all=()):
+    """Runs one case; faults in `on_all` hit all backend servers."""
     with fleet.Fleet(cluster="faults-" + "-".join(case)) as f:
-        start(f, flags)
-        run = f.load(("a1", "a2"), wait=False, rate=150, seconds=SECONDS,
+        start_fleet(f, flags)
+        run = f.run_load(("a1", "a2"), wait=False, rate=150, seconds=SECONDS,
                      paths="/work/x", non_idempotent=0.5, name="case")
         time.sleep(SECONDS / 4)
-        for place, fault in enumerate(case):
-            apply(f, fault, place)
-        for backend in f.backends if everywhere else ():
-            for fault in everywhere:
-                f.mode(backend, mode=fault, **GRAY[fault])
+        for position, fault in enumerate(case):
+            apply_fault(f, fault, position)
+        for backend in f.backends if on_all else ():
+            for fault in on_all:
+                f.set_backend_mode(backend, mode=fault,
+                                   **BACKEND_FAULTS[fault])
         out = run.communicate(timeout=120)[0]
-        return fleet.numbers(fleet.last_line(out))
+        return fleet.parse_fields(fleet.last_line(out))
 
 
 def main():
     flags = sys.argv[1:]
-    single = list(GRAY) + list(OTHER)
-    cases = [(x,) for x in single]
-    cases += list(itertools.combinations(single, 2))
+    faults = list(BACKEND_FAULTS) + list(PROCESS_FAULTS)
+    cases = [(x,) for x in faults]
+    cases += list(itertools.combinations(faults, 2))
     totals = {}
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(PARALLEL_CASES) as pool:
         results = pool.map(lambda case: (case, run_case(case, flags)), cases)
-        for case, found in results:
+        for case, counts in results:
             print("%-28s %s" % ("+".join(case), " ".join(
-                "%s=%d" % (k, v) for k, v in found.items())), flush=True)
-            for key, value in found.items():
+                "%s=%d" % (k, v) for k, v in counts.items())), flush=True)
+            for key, value in counts.items():
                 totals[key] = totals.get(key, 0) + int(value)
-    promises = ("wrong_answers", "double_runs", "false_not_run", "unanswered")
+    violations = ("wrong_answers", "double_runs", "false_not_run",
+                  "unanswered")
     print("totals: " + " ".join("%s=%d" % item for item in totals.items()))
     print("faults: cases=%d " % len(cases) + " ".join(
-        "%s=%d" % (key, totals[key]) for key in promises))
-    return 1 if any(totals[key] for key in promises) else 0
+        "%s=%d" % (key, totals[key]) for key in violations))
+    return 1 if any(totals[key] for key in violations) else 0
 
 
 if __name__ == "__main__":
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,8 +1,4 @@
-"""Starts a small fleet on loopback for the demo, fault runs and benches.
-
-Processes are the project's own binaries; each takes free ports and writes
-them to a ready file. Everything that was started is stopped by its id.
-"""
+"""Starts a small fleet on loopback for the demo, fault runs and benches."""
 
 import json
 import os
@@ -25,19 +21,19 @@
 
 
 class Process:
-    """One process with the ports from its ready file."""
+    """Process that writes the ports it has bound to its ready file."""
 
-    def __init__(self, folder, name, args):
+    def __init__(self, directory, name, args):
         self.name = name
-        self.ready = os.path.join(folder, name + ".ready")
-        self.log = os.path.join(folder, name + ".log")
+        self.ready = os.path.join(directory, name + ".ready")
+        self.log = os.path.join(directory, name + ".log")
         with open(self.log, "ab") as log:
             self.popen = subprocess.Popen(args, stdout=log, stderr=log)
         self.ports = {}
 
-    def wait_ready(self, bound=20.0):
-        end = time.monotonic() + bound
-        while time.monotonic() < end:
+    def wait_ready(self, timeout=20.0):
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             if os.path.exists(self.ready):
                 with open(self.ready) as lines:
                     for line in lines:
@@ -56,11 +52,11 @@
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
-    def stop(self, number=signal.SIGTERM, bound=10.0):
+    def stop(self, number=signal.SIGTERM, timeout=10.0):
         self.send(signal.SIGCONT)
         self.send(number)
         try:
-            self.popen.wait(bound)
+            self.popen.wait(timeout)
         except subprocess.TimeoutExpired:
             self.popen.kill()
             self.popen.wait()
@@ -68,10 +64,10 @@
 
 
 class Fleet:
-    """Platform, nodes and backend servers, with what is needed to ask them."""
+    """Platform, nodes and backend servers of one loopback fleet."""
 
     def __init__(self, cluster="demo", log_lines=20000):
-        self.folder = tempfile.mkdtemp(prefix="jasminetray-")
+        self.directory = tempfile.mkdtemp(prefix="jasminetray-")
         self.cluster = cluster
         self.log_lines = log_lines
         self.platform = None
@@ -81,21 +77,21 @@
 
     def start_platform(self):
         name = "platform"
-        self.platform = Process(self.folder, name, [
+        self.platform = Process(self.directory, name, [
             binary("platform"),
-            "--ready_file=" + os.path.join(self.folder, name + ".ready")])
+            "--ready_file=" + os.path.join(self.directory, name + ".ready")])
         self.platform.wait_ready()
         return self.platform
 
     def seeds(self):
-        """Gossip addresses of up to four nodes that run."""
+        """Returns the gossip addresses of up to four ready nodes."""
         alive = [n for n in self.nodes.values() if n.ports]
         return ",".join(n.address("gossip_port") for n in alive[:4])
 
     def launch_node(self, name, centre, extra=(), flags=(), seeded=True):
-        """Starts a node without waiting for it."""
+        """Starts a node without waiting for readiness."""
         self.generation += 1
-        ready = os.path.join(self.folder, name + ".ready")
+        ready = os.path.join(self.directory, name + ".ready")
         if os.path.exists(ready):
             os.remove(ready)
         sets = ["node.name=" + name, "node.data_centre=" + centre,
@@ -107,7 +103,7 @@
         if seeded and self.seeds():
             sets.append("cluster.seeds=" + self.seeds())
         sets.extend(extra)
-        node = Process(self.folder, name, [
+        node = Process(self.directory, name, [
             binary("node"), "--logtostderr", "--set=" + ";".join(sets),
             *flags])
         self.nodes[name] = node
@@ -117,7 +113,7 @@
         return self.launch_node(name, centre, extra, flags).wait_ready()
 
     def start_backend(self, name, service, node, slots=6, **flags):
-        ready = os.path.join(self.folder, name + ".ready")
+        ready = os.path.join(self.directory, name + ".ready")
         if os.path.exists(ready):
             os.remove(ready)
         args = [binary("backend"), "--name=" + name, "--service=" + service,
@@ -126,68 +122,69 @@
                                            self.runs_file(name)),
                 "--node=" + self.nodes[node].address("admin_port")]
         args += ["--%s=%s" % item for item in flags.items()]
-        self.backends[name] = Process(self.folder, name, args).wait_ready()
+        self.backends[name] = Process(self.directory, name, args).wait_ready()
         return self.backends[name]
 
     def runs_file(self, name):
-        return os.path.join(self.folder, name + ".runs")
+        return os.path.join(self.directory, name + ".runs")
 
     def ctl(self, *words, check=False):
-        """Runs jasminetray-ctl; gives (exit code, output)."""
-        done = subprocess.run([binary("ctl"), *words], capture_output=True,
-                              text=True, timeout=120)
-        if check and done.returncode != 0:
-            raise RuntimeError("ctl %s: %s%s" % (" ".join(words), done.stdout,
-                                                 done.stderr))
-        return done.returncode, done.stdout + done.stderr
+        """Runs jasminetray-ctl; returns (exit code, output)."""
+        result = subprocess.run([binary("ctl"), *words], capture_output=True,
+                                text=True, timeout=120)
+        if check and result.returncode != 0:
+            raise RuntimeError("ctl %s: %s%s" % (
+                " ".join(words), result.stdout, result.stderr))
+        return result.returncode, result.stdout + result.stderr
 
     def ask(self, node, query):
-        """Asks a node's administration API; gives the parsed answer."""
+        """Queries a node's administration API; returns the parsed response."""
         return post(self.nodes[node].address("admin_port"), "/api", query)
 
-    def submit(self, folder):
-        code, out = self.ctl("config", "submit", folder,
+    def submit(self, directory):
+        code, out = self.ctl("config", "submit", directory,
                              "--platform=" + self.platform.address())
         if code != 0:
             raise RuntimeError(out)
         return int(out.split("version=")[1].split()[0])
 
     def submit_text(self, base):
-        """Submits a configuration of one base file."""
-        folder = tempfile.mkdtemp(prefix="jasminetray-config-")
-        with open(folder + "/base.ini", "w") as out:
+        directory = tempfile.mkdtemp(prefix="jasminetray-config-")
+        with open(directory + "/base.ini", "w") as out:
             out.write(base)
-        return self.submit(folder)
+        return self.submit(directory)
 
-    def wait(self, what, condition, bound=20.0):
-        """Waits until a condition holds; fails loudly else."""
-        end = time.monotonic() + bound
-        while time.monotonic() < end:
+    def wait(self, what, condition, timeout=20.0):
+        """Waits until a condition holds; raises an error at the timeout."""
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             if condition():
                 return
             time.sleep(0.05)
-        raise RuntimeError("not within %.0f s: %s" % (bound, what))
+        raise RuntimeError("not within %.0f s: %s" % (timeout, what))
 
-    def wait_config(self, version, bound=20.0):
+    def wait_config(self, version, timeout=20.0):
         self.wait("configuration %d everywhere" % version, lambda: all(
             self.ask(n, {"query": "status"})["config_version"] >= version
-            for n in self.nodes), bound)
+            for n in self.nodes), timeout)
 
-    def wait_workers(self, service, count, bound=20.0):
-        def known(node):
-            answer = self.ask(node, {"query": "service", "name": service})
-            return sum(w["alive"] for w in answer.get("workers", []))
+    def wait_workers(self, service, count, timeout=20.0):
+        def alive_workers(node):
+            response = self.ask(node, {"query": "service", "name": service})
+            return sum(w["alive"] for w in response.get("workers", []))
         self.wait("%d backend servers of %s everywhere" % (count, service),
-                  lambda: all(known(n) == count for n in self.nodes), bound)
+                  lambda: all(alive_workers(n) == count for n in self.nodes),
+                  timeout)
 
-    def mode(self, backend, **mode):
+    def set_backend_mode(self, backend, **mode):
         post(self.backends[backend].address(), "/mode", mode)
 
-    def fault(self, **fault):
+    def set_platform_fault(self, **fault):
         post(self.platform.address(), "/fault", fault)
 
-    def load(self, entries, wait=True, **flags):
-        """Runs jasminetray-load; gives (exit code, output), or the process."""
+    def run_load(self, entries, wait=True, **flags):
+        """Runs jasminetray-load; returns (exit code, output), or the process
+        if `wait` is false."""
         args = [binary("load"),
                 "--entries=" + flags.pop("targets", ",".join(
                     self.nodes[n].address("entry_port") for n in entries)),
@@ -217,28 +214,26 @@
         self.stop()
 
 
-def post(address, target, body, bound=5.0):
-    """POSTs JSON and parses the answer; {} for an empty one."""
+def post(address, target, body, timeout=5.0):
+    """POSTs JSON; returns the parsed response, {} if it is empty."""
     request = urllib.request.Request(
         "http://" + address + target, data=json.dumps(body).encode(),
         headers={"Authorization": "Bearer " + TOKEN})
     try:
-        with urllib.request.urlopen(request, timeout=bound) as answer:
-            text = answer.read().decode()
-    except urllib.error.HTTPError as refused:
-        text = refused.read().decode()
+        with urllib.request.urlopen(request, timeout=timeout) as response:
+            text = response.read().decode()
+    except urllib.error.HTTPError as error:
+        text = error.read().decode()
     return json.loads(text) if text.strip() else {}
 
 
 def cpu_seconds(pid):
-    """Processor time that a process has used."""
     with open("/proc/%d/stat" % pid) as stat:
         fields = stat.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def rss_kb(pid):
-    """Resident memory of a process."""
     with open("/proc/%d/status" % pid) as status:
         for line in status:
             if line.startswith("VmRSS"):
@@ -250,11 +245,11 @@
     return text.strip().splitlines()[-1]
 
 
-def numbers(line):
-    """'word: a=1 b=2' as a dictionary of numbers."""
-    found = {}
+def parse_fields(line):
+    """Parses 'word: a=1 b=2' into a dictionary of numbers."""
+    fields = {}
     for part in line.split():
         if "=" in part:
             key, value = part.split("=", 1)
-            found[key] = float(value)
-    return found
+            fields[key] = float(value)
+    return fields
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the packages that are missing; does nothing when all are there.
+# Installs the given packages that are missing.
 set -eu
 missing=""
 for name in "$@"; do
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,7 +1,6 @@
 #!/bin/sh
-# clang-tidy over all of our sources, with the flags of the build; warnings
-# are errors. Files that have not changed since they were last clean under
-# the same settings are skipped.
+# Runs clang-tidy with the flags of the build; warnings are errors. Skips files
+# that passed before if neither they nor any header or setting changed.
 set -eu
 build=$1
 stamps=$build/lint
